--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -1,5 +1,5 @@
-// Package stream holds what every connection of the border controller has in common: a reader that never
-// buffers more than a message may hold, and a writer with a bounded buffer and deadlines.
+// Package stream provides the reader and writer that all connections of the border controller use: a reader that bounds
+// the bytes buffered for a message, and a writer with a bounded queue and write deadlines.
 package stream
 
 import (
@@ -13,64 +13,65 @@
 	"time"
 )
 
-// MaxMessage is the most bytes that one message may hold.
+// MaxMessage is the maximum size of a message in bytes.
 const MaxMessage = 16 << 10
 
 const (
-	readBuffer  = 4 << 10
-	writeQueue  = 512              // messages that may wait for a connection
-	writeWithin = 2 * time.Second  // a write that takes longer ends the connection
-	writeBuffer = 16 << 10         // messages that wait are written together, up to this
-	drainWithin = time.Second      // how long a peer that was told off may go on sending
-	drainMost   = 1 << 20          // and how much
-	keepProbe   = 15 * time.Second // TCP keep-alive, so that a peer that vanished is noticed
+	readBuffer      = 4 << 10
+	writeQueue      = 512              // maximum number of messages queued for a connection
+	writeTimeout    = 2 * time.Second  // a write that takes longer ends the connection
+	writeBuffer     = 16 << 10         // queued messages are joined into one write until it reaches this size
+	lingerTimeout   = time.Second      // maximum time for which Part discards input
+	maxLingerBytes  = 1 << 20          // maximum number of bytes that Part discards
+	keepAlivePeriod = 15 * time.Second // TCP keep-alive, to detect a peer that vanished
 )
 
-// ErrTooLarge tells that a message went over MaxMessage.
+// ErrTooLarge reports that a message exceeds MaxMessage.
 var ErrTooLarge = errors.New("message is larger than 16 KiB")
 
-// Reader reads messages from a connection. Call Begin before each message.
+// Reader reads messages from a connection. The caller calls Begin before each message.
 type Reader struct {
 	*textproto.Reader
-	from  io.Reader
+	src   io.Reader
 	total int // bytes read from the connection
-	start int // position at which the message began
-	limit int // position that the message may not pass
+	start int // position of the first byte of the message
+	limit int // position at which reading for the message stops
 }
 
-// NewReader returns a Reader on from.
-func NewReader(from io.Reader) *Reader {
-	r := &Reader{from: from}
-	r.Reader = textproto.NewReader(bufio.NewReaderSize(budget{r}, readBuffer))
+// NewReader returns a Reader that reads from src. The first message has begun.
+func NewReader(src io.Reader) *Reader {
+	r := &Reader{src: src}
+	r.Reader = textproto.NewReader(bufio.NewReaderSize(limitedReader{r}, readBuffer))
 	r.Begin()
 	return r
 }
 
-// budget hands the connection's bytes to the buffer, and none past what the message may hold. Without it a
-// peer that sends no line end would make textproto collect its bytes without bound.
-type budget struct{ r *Reader }
+// limitedReader reads the connection's bytes up to the limit of the current message. Without it textproto would buffer
+// without bound the bytes of a peer that sends no line end.
+type limitedReader struct{ r *Reader }
 
-// Read implements io.Reader.
-func (b budget) Read(p []byte) (int, error) {
+// Read implements io.Reader. It returns ErrTooLarge once the limit is reached.
+func (b limitedReader) Read(p []byte) (int, error) {
 	left := b.r.limit - b.r.total
 	if left <= 0 {
 		return 0, ErrTooLarge
 	}
-	n, err := b.r.from.Read(p[:min(len(p), left)])
+	n, err := b.r.src.Read(p[:min(len(p), left)])
 	b.r.total += n
 	return n, err
 }
 
-// Begin starts a message.
+// Begin starts a message at the current position and resets the size limit.
 func (r *Reader) Begin() {
 	r.start = r.total - r.R.Buffered()
-	r.limit = r.start + MaxMessage + readBuffer // the buffer may hold the start of what follows
+	r.limit = r.start + MaxMessage + readBuffer // the read buffer may hold the start of the next message
 }
 
-// Size is how much of the message has been read.
+// Size returns the number of bytes of the message that have been read.
 func (r *Reader) Size() int { return r.total - r.R.Buffered() - r.start }
 
-// Body reads the n bytes that end a message.
+// Body reads n bytes, the body that ends a message. It returns ErrTooLarge if n is negative or the message would exceed
+// MaxMessage.
 func (r *Reader) Body(n int) ([]byte, error) {
 	if n < 0 || r.Size()+n > MaxMessage {
 		return nil, ErrTooLarge
@@ -80,7 +81,7 @@
 	return b, err
 }
 
-// Line reads one line without its end.
+// Line reads one line and returns it without its line end. It returns ErrTooLarge if the message exceeds MaxMessage.
 func (r *Reader) Line() ([]byte, error) {
 	line, err := r.ReadLineBytes()
 	if err == nil && r.Size() > MaxMessage {
@@ -89,30 +90,32 @@
 	return line, err
 }
 
-// Writer writes messages to a connection from a goroutine of its own, so that nobody waits for a peer.
+// Writer writes messages to a connection from its own goroutine, so that senders never block on a slow peer.
 type Writer struct {
-	conn  net.Conn
-	queue chan []byte
-	end   chan struct{}
-	once  sync.Once
-	half  atomic.Bool   // Finish leaves the connection open for reading
-	done  chan struct{} // closed when nothing more is written
+	conn      net.Conn
+	queue     chan []byte   // a nil message ends the writing
+	closed    chan struct{} // closed to end the writing; Send then returns false
+	closeOnce sync.Once
+	halfClose atomic.Bool   // after the queue is written, only the writing half is closed
+	done      chan struct{} // closed when no more bytes are written
 }
 
-// NewWriter returns a Writer on conn and starts its goroutine, which ends with Close.
+// NewWriter returns a Writer on conn and starts its goroutine. The goroutine ends with the connection, so the caller
+// must end it with Close, Finish, HalfClose or Part.
 func NewWriter(conn net.Conn) *Writer {
 	if t, ok := conn.(*net.TCPConn); ok {
-		_ = t.SetKeepAlivePeriod(keepProbe) // only a help: deadlines hold without it
+		_ = t.SetKeepAlivePeriod(keepAlivePeriod) // best effort: the write deadlines apply without it
 	}
-	w := &Writer{conn: conn, queue: make(chan []byte, writeQueue), end: make(chan struct{}), done: make(chan struct{})}
+	w := &Writer{conn: conn, queue: make(chan []byte, writeQueue), closed: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Send queues a message. It tells false if the connection is over; a full buffer ends it.
+// Send queues a message. It returns false if the connection has ended; if the queue is full, it ends the connection and
+// returns false.
 func (w *Writer) Send(message []byte) bool {
 	select {
-	case <-w.end:
+	case <-w.closed:
 		return false
 	default:
 	}
@@ -125,16 +128,19 @@
 	}
 }
 
-// Close ends the connection: its reader sees an error and reports what the end means.
+// Close ends the connection at once and drops the queued messages. A pending read on the connection fails with an
+// error.
 func (w *Writer) Close() {
-	w.once.Do(func() { close(w.end) })
+	w.closeOnce.Do(func() { close(w.closed) })
 	w.conn.Close()
 }
 
-// Done is closed once nothing more is written: what was queued has been, or the connection is over.
+// Done returns a channel that is closed when no more bytes are written: the queue has been written or the connection
+// has ended.
 func (w *Writer) Done() <-chan struct{} { return w.done }
 
-// Finish writes what is queued, then ends the connection.
+// Finish ends the connection after the queued messages have been written. It does not wait for that; if the queue is
+// full, it ends the connection at once.
 func (w *Writer) Finish() {
 	select {
 	case w.queue <- nil:
@@ -143,29 +149,29 @@
 	}
 }
 
-// HalfClose writes what is queued, then ends the writing half. The connection stays open for reading.
+// HalfClose closes the writing half after the queued messages have been written. The connection stays open for reading.
 func (w *Writer) HalfClose() {
-	w.half.Store(true)
+	w.halfClose.Store(true)
 	w.Finish()
 }
 
-// Part writes what is queued, ends the writing half, and closes the connection once the peer has had time to
-// read that: what it still sends is read and dropped for a while. Were the connection closed at once, the
-// peer's system would be told of a reset, and could drop the last answer unread. The caller of Part must have
-// ended its own reading.
+// Part closes the connection after a linger: it closes the writing half after the queued messages have been written,
+// then reads and discards input for up to lingerTimeout and maxLingerBytes before it closes the connection. Closing at
+// once while input is unread would make the local system send a reset, on which the peer's system may drop the last
+// response unread. The caller must have stopped reading.
 func (w *Writer) Part() {
-	w.half.Store(true)
+	w.halfClose.Store(true)
 	w.Finish()
-	if w.conn.SetReadDeadline(time.Now().Add(drainWithin)) == nil {
-		_, _ = io.CopyN(io.Discard, w.conn, drainMost) // whatever ends it
+	if w.conn.SetReadDeadline(time.Now().Add(lingerTimeout)) == nil {
+		_, _ = io.CopyN(io.Discard, w.conn, maxLingerBytes) // the connection is closed whatever the error
 	}
 	w.Close()
 }
 
-// hangUp ends the writing half where Part asked for that, else the connection.
-func (w *Writer) hangUp() {
-	if t, ok := w.conn.(interface{ CloseWrite() error }); ok && w.half.Load() {
-		w.once.Do(func() { close(w.end) })
+// closeWriting closes the writing half after a HalfClose or Part, and the whole connection otherwise.
+func (w *Writer) closeWriting() {
+	if t, ok := w.conn.(interface{ CloseWrite() error }); ok && w.halfClose.Load() {
+		w.closeOnce.Do(func() { close(w.closed) })
 		if t.CloseWrite() == nil {
 			return
 		}
@@ -173,16 +179,16 @@
 	w.Close()
 }
 
-// run writes what is queued, joining messages that wait.
+// run writes the queued messages, joining those that wait into one write.
 func (w *Writer) run() {
 	defer close(w.done)
-	defer w.hangUp()
+	defer w.closeWriting()
 	buf := make([]byte, 0, 1024)
 	for {
 		var m []byte
 		select {
 		case m = <-w.queue:
-		case <-w.end:
+		case <-w.closed:
 			return
 		}
 		buf, last := buf[:0], m == nil
@@ -199,7 +205,7 @@
 			}
 		}
 		if len(buf) > 0 {
-			if err := w.conn.SetWriteDeadline(time.Now().Add(writeWithin)); err != nil {
+			if err := w.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 				return
 			}
 			if _, err := w.conn.Write(buf); err != nil {
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -10,33 +10,33 @@
 	"github.com/stretchr/testify/require"
 )
 
-// endless is a peer that never ends its line, and counts what was taken from it.
-type endless struct{ taken int }
+// endlessReader is a peer that sends a line without end. It counts the bytes read from it.
+type endlessReader struct{ bytesRead int }
 
 // Read implements io.Reader.
-func (e *endless) Read(p []byte) (int, error) {
+func (e *endlessReader) Read(p []byte) (int, error) {
 	for i := range p {
 		p[i] = 'x'
 	}
-	e.taken += len(p)
+	e.bytesRead += len(p)
 	return len(p), nil
 }
 
-// TestReaderBounds: of a message without end no more is buffered than a message may hold, whether it is a line
-// or a header.
+// TestReaderBounds: for a message without end the reader buffers no more than the maximum size of a message plus its
+// read buffer, both for a line and for a header.
 func TestReaderBounds(t *testing.T) {
 	for _, read := range []func(*Reader) error{
 		func(r *Reader) error { _, err := r.Line(); return err },
 		func(r *Reader) error { _, err := r.ReadMIMEHeader(); return err },
 		func(r *Reader) error { _, err := r.Body(MaxMessage + 1); return err },
 	} {
-		peer := &endless{}
+		peer := &endlessReader{}
 		require.ErrorIs(t, read(NewReader(peer)), ErrTooLarge)
-		require.LessOrEqual(t, peer.taken, MaxMessage+readBuffer)
+		require.LessOrEqual(t, peer.bytesRead, MaxMessage+readBuffer)
 	}
 }
 
-// TestReaderGoesOn: the bound is that of one message, not of the connection.
+// TestReaderGoesOn: the size limit applies to each message, not to the whole connection.
 func TestReaderGoesOn(t *testing.T) {
 	line := strings.Repeat("x", MaxMessage-1) + "\n"
 	r := NewReader(strings.NewReader(strings.Repeat(line, 5)))
@@ -52,29 +52,29 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// TestWriterOverflow: a peer that reads nothing never blocks who sends; its connection ends.
+// TestWriterOverflow: a peer that reads nothing never blocks the sender; the connection ends when the queue is full.
 func TestWriterOverflow(t *testing.T) {
-	near, far := net.Pipe()
-	w := NewWriter(near)
+	local, remote := net.Pipe()
+	w := NewWriter(local)
 	sent := 0
 	for w.Send([]byte("message")) {
 		sent++
 		require.LessOrEqual(t, sent, 2*writeQueue+writeBuffer)
 	}
 	require.GreaterOrEqual(t, sent, writeQueue)
-	_, err := io.ReadAll(far)
-	require.NoError(t, err) // the end of the connection, not of the test's patience
+	_, err := io.ReadAll(remote)
+	require.NoError(t, err) // the read ends with the connection, not with a timeout
 	require.False(t, w.Send([]byte("late")))
 }
 
-// TestWriterFinish: what was queued before the end is written.
+// TestWriterFinish: messages queued before Finish are written.
 func TestWriterFinish(t *testing.T) {
-	near, far := net.Pipe()
-	w := NewWriter(near)
+	local, remote := net.Pipe()
+	w := NewWriter(local)
 	w.Send([]byte("one "))
 	w.Send([]byte("two"))
 	w.Finish()
-	got, err := io.ReadAll(far)
+	got, err := io.ReadAll(remote)
 	require.True(t, err == nil || errors.Is(err, io.ErrClosedPipe))
 	require.Equal(t, "one two", string(got))
 }
