--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,4 +1,4 @@
-// Package lifecycle holds the program's phases, from start to exit, as the named states of one object.
+// Package lifecycle tracks the phase of the program, from start to exit.
 package lifecycle
 
 import (
@@ -10,41 +10,41 @@
 // State is a phase of the program.
 type State int
 
-// The states, in the order in which they are passed.
+// The states, in the order in which the program passes them.
 const (
-	Starting State = iota // nothing is taken yet
-	Ready                 // listens and passes tests
-	Serving               // has taken a request
-	Draining              // told to stop: goes on taking what still comes, and finishes it
-	Stopped               // nothing is open any more
+	Starting State = iota // accepts no requests
+	Ready                 // listens and passes health checks
+	Serving               // has accepted a request
+	Draining              // was asked to stop: still accepts requests that arrive, and completes them
+	Stopped               // nothing is open
 )
 
-var names = [...]string{"starting", "ready", "serving", "draining", "stopped"}
+var stateNames = [...]string{"starting", "ready", "serving", "draining", "stopped"}
 
-// String returns the state's name.
+// String returns the name of the state.
 func (s State) String() string {
-	if s < 0 || int(s) >= len(names) {
+	if s < 0 || int(s) >= len(stateNames) {
 		return fmt.Sprintf("state %d", int(s))
 	}
-	return names[s]
+	return stateNames[s]
 }
 
-// Lifecycle is the program's phase. Its zero value is Starting; it may be used from any goroutine.
+// Lifecycle holds the current state of the program. Its zero value is in Starting. It is safe for concurrent use.
 type Lifecycle struct {
-	mu      sync.Mutex
-	state   State
-	entered time.Time // when the present state was entered
-	watches []func(from, to State)
+	mu       sync.Mutex
+	state    State
+	entered  time.Time // when the current state was entered, zero before the first change
+	watchers []func(from, to State)
 }
 
-// State returns the present state.
+// State returns the current state.
 func (l *Lifecycle) State() State {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state
 }
 
-// Since returns how long a state has been the present one, 0 if it is not.
+// Since returns how long s has been the current state, or 0 if it is not the current state or no change was made.
 func (l *Lifecycle) Since(s State) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,23 +54,25 @@
 	return time.Since(l.entered)
 }
 
-// Watch calls f, in turn, at each later change. f must not call back into the Lifecycle.
+// Watch registers f to be called at each later change. Functions are called one after the other in the order of their
+// registration, with the lock held: f must not call back into the Lifecycle.
 func (l *Lifecycle) Watch(f func(from, to State)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.watches = append(l.watches, f)
+	l.watchers = append(l.watchers, f)
 }
 
-// To moves on to a later state. It returns an error, and changes nothing, when that is not ahead.
+// To changes to a later state; states in between may be skipped. If next is not a later state, To returns an error and
+// changes nothing.
 func (l *Lifecycle) To(next State) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if next <= l.state || next > Stopped {
-		return fmt.Errorf("lifecycle: no way from %v to %v", l.state, next)
+		return fmt.Errorf("lifecycle: invalid transition from %v to %v", l.state, next)
 	}
 	from := l.state
 	l.state, l.entered = next, time.Now()
-	for _, f := range l.watches {
+	for _, f := range l.watchers {
 		f(from, next)
 	}
 	return nil
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -6,11 +6,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestOrder: states are passed in order, none twice, and each change is told once.
+// TestOrder: states change only forward, none is entered twice, and each change is reported to watchers once.
 func TestOrder(t *testing.T) {
 	l := &Lifecycle{}
-	var told []string
-	l.Watch(func(from, to State) { told = append(told, from.String()+">"+to.String()) })
+	var transitions []string
+	l.Watch(func(from, to State) { transitions = append(transitions, from.String()+">"+to.String()) })
 	require.NoError(t, l.To(Ready))
 	require.Error(t, l.To(Ready))
 	require.NoError(t, l.To(Draining))
@@ -18,5 +18,5 @@
 	require.NoError(t, l.To(Stopped))
 	require.Error(t, l.To(Stopped+1))
 	require.Equal(t, Stopped, l.State())
-	require.Equal(t, []string{"starting>ready", "ready>draining", "draining>stopped"}, told)
+	require.Equal(t, []string{"starting>ready", "ready>draining", "draining>stopped"}, transitions)
 }
