--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,5 @@
-// Package wire turns the simulator's frames into plain structs and back. It decides nothing.
+// Package wire decodes the simulator's binary frames into structs and encodes replies. It holds no logic beyond the
+// format.
 package wire
 
 import (
@@ -10,16 +11,16 @@
 	"math"
 )
 
-// maxFrame bounds a frame's stated size, so that a corrupt length can't exhaust memory.
+// maxFrame is the maximum accepted frame size in bytes, so that a corrupt length cannot exhaust memory.
 const maxFrame = 1 << 30
 
-// Batch is one frame of events, all at one time.
+// Batch is one frame: events that occur at the same time.
 type Batch struct {
 	Clock  float64 // milliseconds
-	Events []any   // the event structs below, by value
+	Events []any   // event structs of this package, by value
 }
 
-// Entry is a line of a list.
+// Entry is an element of an Inventory.
 type Entry struct {
 	Switch uint32
 	Zone   uint8
@@ -30,20 +31,20 @@
 	Since  float64
 }
 
-// Init starts an instance.
+// Init starts an instance. Settings is valid until the next call of Reader.Next.
 type Init struct {
 	Who      uint32
 	Salt     uint64
 	Settings []byte
 }
 
-// Inventory defines a numbered list for the whole process.
+// Inventory defines the numbered list Set for the whole process.
 type Inventory struct {
 	Set     uint8
 	Entries []Entry
 }
 
-// Fleet is discovery's word for one instance.
+// Fleet is the response of discovery to one instance.
 type Fleet struct {
 	Who    uint32
 	How    uint8
@@ -51,7 +52,7 @@
 	Set    uint8
 }
 
-// Ingress hands a call over.
+// Ingress delivers a call to an instance.
 type Ingress struct {
 	Who         uint32
 	Call        uint64
@@ -66,14 +67,14 @@
 	Flags       uint8
 }
 
-// The flags of an Ingress.
+// Flags of an Ingress.
 const (
 	FlagRedial   = 2
 	FlagTransit  = 8
 	FlagRecalled = 16
 )
 
-// FirstByte tells that a call stands.
+// FirstByte reports that a call stands.
 type FirstByte struct {
 	Who    uint32
 	Call   uint64
@@ -82,7 +83,7 @@
 	Took   float64
 }
 
-// Completed ends an attempt.
+// Completed reports the end of an attempt.
 type Completed struct {
 	Who    uint32
 	Call   uint64
@@ -95,19 +96,19 @@
 	Health []float32
 }
 
-// Cancelled tells that a caller left.
+// Cancelled reports that the caller has left.
 type Cancelled struct {
 	Who  uint32
 	Call uint64
 }
 
-// TimerFired is a timer come due.
+// TimerFired reports that a timer has expired.
 type TimerFired struct {
 	Who uint32
 	Tag uint64
 }
 
-// HealthResult answers a probe, or tells of changed circuits.
+// HealthResult is the result of a probe, or reports changed circuits.
 type HealthResult struct {
 	Who    uint32
 	Switch uint32
@@ -116,7 +117,7 @@
 	Health []float32
 }
 
-// Neighbour is a peer's message.
+// Neighbour is a message from the peer instance Src. Octets is valid until the next call of Reader.Next.
 type Neighbour struct {
 	Who    uint32
 	Src    uint16
@@ -129,15 +130,15 @@
 // Reader reads batches from a stream.
 type Reader struct {
 	in  *bufio.Reader
-	pos int64 // bytes consumed so far
+	pos int64 // bytes consumed
 	buf []byte
 }
 
-// NewReader returns a Reader on in.
+// NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(in, 1<<16)} }
 
-// Next returns the next batch, io.EOF at a clean end, or an error that names record, field and position.
-// The batch's byte slices are valid until the following call.
+// Next returns the next batch, io.EOF at the end of the input between two frames, or an error that names the record,
+// the field and the position. The byte slices of the batch are valid until the next call.
 func (r *Reader) Next() (Batch, error) {
 	var head [4]byte
 	n, err := io.ReadFull(r.in, head[:])
@@ -145,7 +146,7 @@
 		return Batch{}, io.EOF
 	}
 	if err != nil {
-		return Batch{}, cut("frame", "length", r.pos+int64(n), err)
+		return Batch{}, readError("frame", "length", r.pos+int64(n), err)
 	}
 	size := binary.LittleEndian.Uint32(head[:])
 	if size < 8 || size > maxFrame {
@@ -163,7 +164,7 @@
 	return b, err
 }
 
-// fill reads size bytes, growing the buffer only as they arrive.
+// fill reads size bytes into the buffer. It grows the buffer only as data arrives.
 func (r *Reader) fill(size int) error {
 	r.buf = r.buf[:0]
 	for len(r.buf) < size {
@@ -174,21 +175,21 @@
 		}
 		r.buf = r.buf[:at+step]
 		if n, err := io.ReadFull(r.in, r.buf[at:]); err != nil {
-			return cut("frame", "content", r.pos+int64(at+n), err)
+			return readError("frame", "content", r.pos+int64(at+n), err)
 		}
 	}
 	return nil
 }
 
-// cut words a stream that ended early.
-func cut(record, field string, at int64, err error) error {
+// readError returns an error for a read that failed at position at, naming the record and the field.
+func readError(record, field string, at int64, err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return fmt.Errorf("%s: field %s: input ends at byte %d", record, field, at)
 	}
 	return fmt.Errorf("%s: field %s: at byte %d: %w", record, field, at, err)
 }
 
-// cursor walks over a frame's content and keeps the first error.
+// cursor reads fields from the content of a frame and keeps the first error. After an error every field reads as zero.
 type cursor struct {
 	data   []byte
 	at     int
@@ -243,7 +244,7 @@
 func (c *cursor) f32(field string) float32 { return math.Float32frombits(c.u32(field)) }
 func (c *cursor) f64(field string) float64 { return math.Float64frombits(c.u64(field)) }
 
-// floats reads a u8 count and so many f32.
+// floats reads a u8 count followed by that many f32 values.
 func (c *cursor) floats(field string) []float32 {
 	n := int(c.u8(field))
 	out := make([]float32, 0, n)
@@ -253,7 +254,7 @@
 	return out
 }
 
-// entries reads a u32 count and so many list entries of 22 bytes.
+// entries reads a u32 count followed by that many list entries of 22 bytes each.
 func (c *cursor) entries() []Entry {
 	n := int64(c.u32("elements"))
 	if c.err == nil && n*22 > int64(len(c.data)-c.at) {
@@ -270,7 +271,8 @@
 	return out
 }
 
-// Decode reads a frame's content after its length. base is the content's position in the stream.
+// Decode decodes the content of a frame, which follows its length. base is the position of the content in the stream,
+// used in errors. The byte slices of the batch refer to data.
 func Decode(data []byte, base int64) (Batch, error) {
 	c := &cursor{data: data, base: base, record: "batch"}
 	b := Batch{Clock: c.f64("clock")}
@@ -289,7 +291,7 @@
 	return b, nil
 }
 
-// event reads one record.
+// event decodes one record.
 func (c *cursor) event() any {
 	c.record = "record"
 	at := c.at
@@ -338,19 +340,19 @@
 	return nil
 }
 
-// Reply collects a batch's actions.
+// Reply encodes the actions that answer a batch. The zero value is an empty reply.
 type Reply struct {
 	buf   []byte
 	count uint32
 }
 
-// Reset starts a new reply.
+// Reset discards all actions and starts a new reply.
 func (r *Reply) Reset() {
 	r.buf = append(r.buf[:0], 0, 0, 0, 0, 0, 0, 0, 0)
 	r.count = 0
 }
 
-// Bytes returns the whole frame, valid until the next Reset.
+// Bytes returns the whole frame. It is valid until the next change of the Reply.
 func (r *Reply) Bytes() []byte {
 	if len(r.buf) == 0 {
 		r.Reset()
@@ -360,7 +362,7 @@
 	return r.buf
 }
 
-// start begins a record.
+// start begins a record and counts it.
 func (r *Reply) start(code uint8, who uint32) {
 	if len(r.buf) == 0 {
 		r.Reset()
@@ -369,7 +371,7 @@
 	r.u32(uint32(who), code)
 }
 
-// u32 appends a value, after the code if one is given.
+// u32 appends the code, if given, and the value v.
 func (r *Reply) u32(v uint32, code ...uint8) {
 	r.buf = append(r.buf, code...)
 	r.buf = binary.LittleEndian.AppendUint32(r.buf, v)
@@ -378,14 +380,14 @@
 func (r *Reply) u64(v uint64)  { r.buf = binary.LittleEndian.AppendUint64(r.buf, v) }
 func (r *Reply) f64(v float64) { r.u64(math.Float64bits(v)) }
 
-// text appends a u16 count and the text, cut to what fits.
+// text appends a u16 length and the text, truncated to the maximum length.
 func (r *Reply) text(s string) {
 	s = s[:min(len(s), math.MaxUint16)]
 	r.buf = binary.LittleEndian.AppendUint16(r.buf, uint16(len(s)))
 	r.buf = append(r.buf, s...)
 }
 
-// Follow appends FOLLOW.
+// Follow appends a FOLLOW action.
 func (r *Reply) Follow(who uint32, on bool) {
 	r.start(17, who)
 	if on {
@@ -395,58 +397,58 @@
 	}
 }
 
-// Withdraw appends WITHDRAW.
+// Withdraw appends a WITHDRAW action for one leg of a call.
 func (r *Reply) Withdraw(who uint32, call uint64, leg uint8) {
 	r.start(18, who)
 	r.u64(call)
 	r.buf = append(r.buf, leg)
 }
 
-// Lookup appends LOOKUP.
+// Lookup appends a LOOKUP action.
 func (r *Reply) Lookup(who uint32) { r.start(19, who) }
 
-// Error appends ERROR.
+// Error appends an ERROR action for a call.
 func (r *Reply) Error(who uint32, call uint64) {
 	r.start(20, who)
 	r.u64(call)
 }
 
-// Probe appends PROBE.
+// Probe appends a PROBE action for the switch sw.
 func (r *Reply) Probe(who, sw uint32) {
 	r.start(21, who)
 	r.u32(sw)
 }
 
-// Route appends ROUTE.
-func (r *Reply) Route(who uint32, call uint64, capMs float64, sw uint32) {
+// Route appends a ROUTE action that sends a call to the switch sw with a timeout of timeoutMs milliseconds.
+func (r *Reply) Route(who uint32, call uint64, timeoutMs float64, sw uint32) {
 	r.start(22, who)
 	r.u64(call)
-	r.f64(capMs)
+	r.f64(timeoutMs)
 	r.u32(sw)
 }
 
-// Exception appends EXCEPTION.
-func (r *Reply) Exception(who uint32, line string) {
+// Exception appends an EXCEPTION action. The message is truncated to 65535 bytes.
+func (r *Reply) Exception(who uint32, message string) {
 	r.start(23, who)
-	r.text(line)
+	r.text(message)
 }
 
-// Timer appends TIMER.
+// Timer appends a TIMER action that fires after spanMs milliseconds with the given tag.
 func (r *Reply) Timer(who uint32, spanMs float64, tag uint64) {
 	r.start(24, who)
 	r.f64(spanMs)
 	r.u64(tag)
 }
 
-// Shed appends SHED.
+// Shed appends a SHED action that rejects a call with the advice to retry after retryAfterMs milliseconds.
 func (r *Reply) Shed(who uint32, call uint64, retryAfterMs float64) {
 	r.start(25, who)
 	r.u64(call)
 	r.f64(retryAfterMs)
 }
 
-// NoteDown appends NOTE_DOWN.
-func (r *Reply) NoteDown(who uint32, line string) {
+// NoteDown appends a NOTE_DOWN action. The message is truncated to 65535 bytes.
+func (r *Reply) NoteDown(who uint32, message string) {
 	r.start(27, who)
-	r.text(line)
+	r.text(message)
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// frame turns spaced hex into bytes.
+// frame decodes hexadecimal text with white space.
 func frame(t testing.TB, s string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(s), ""))
@@ -142,7 +142,7 @@
 	}
 }
 
-// FuzzDecode: any bytes give a batch or an error, and never a batch with an unusable clock.
+// FuzzDecode: any input yields a batch or an error, and never a batch with an unusable clock or a partial batch.
 func FuzzDecode(f *testing.F) {
 	f.Add(frame(f, goldenRecords))
 	f.Add(frame(f, goldenBatch)[4:])
