--- a/internal/jsontext/jsontext.go
+++ b/internal/jsontext/jsontext.go
@@ -1,8 +1,9 @@
-// Package jsontext writes JSON strings.
+// Package jsontext encodes JSON strings.
 package jsontext
 
-// Append writes a JSON string that a reader turns back into the same bytes. fastjson's own writer quotes as Go
-// does (\x00, \a), which JSON readers refuse, so texts with control characters would be lost.
+// Append appends s to b as a JSON string that decodes to the same bytes, and returns the extended buffer. fastjson's
+// own writer quotes as Go does (\x00, \a), which JSON parsers reject, so text with control characters would be lost.
+// Bytes that are not valid UTF-8 are copied unchanged.
 func Append[T string | []byte](b []byte, s T) []byte {
 	const hex = "0123456789abcdef"
 	b = append(b, '"')
