--- a/attempts.go
+++ b/attempts.go
@@ -1,4 +1,4 @@
-// Attempts: set-ups under way, their ends, and the final answers.
+// Attempts: sending set-ups, processing their outcomes, and the final answers to calls.
 
 package brookmux
 
@@ -7,121 +7,123 @@
 	"time"
 )
 
-// attempt is a set-up under way.
+// attempt is a set-up that has been sent and has not ended. It includes the call that stands by it.
 type attempt struct {
-	at     time.Duration
-	waits  bool // direct and not yet standing
-	to     *exchange
-	direct bool
+	sentAt   time.Duration
+	awaiting bool // direct, and the call does not stand yet
+	to       *exchange
+	direct   bool // to is the destination, not a tandem
 }
 
-// send starts an attempt.
-func (c *Controller) send(now time.Duration, p *pending, e *exchange) {
-	c.leave(p)
+// send starts an attempt over an exchange and counts its circuits. An exchange that has left several set-ups
+// unanswered for unresponsiveAfter is backed off.
+func (c *Controller) send(now time.Duration, p *pendingCall, e *exchange) {
+	c.dequeue(p)
 	to := c.exchange(p.Destination)
-	if !p.Transit && p.sends == 0 {
-		to.admitted.now++
+	if !p.Transit && p.attempts == 0 {
+		to.admitted.current++
 	}
 	timeout := p.Expires - now
-	if left := p.first + p.class.Aim - c.set.ReleaseWait - c.bound - now; now < c.lossy && left > c.bound &&
-		e.unanswered == 0 && p.class.Effect != Once && p.sends+1 < c.set.MaxAttempts {
-		timeout = min(timeout, left) // were the answer lost, there would be time for a further set-up
+	if left := p.firstTried + p.class.Aim - c.settings.ReleaseWait - c.setUpBound - now; now < c.lossyUntil &&
+		left > c.setUpBound && e.unanswered == 0 && p.class.Effect != Once && p.attempts+1 < c.settings.MaxAttempts {
+		timeout = min(timeout, left) // leaves time for another set-up if the answer is lost
 	}
 	if e.unanswered++; e.unanswered == 1 {
-		e.silentFrom = now
-	} else if e.unanswered > silentSends && now-e.silentFrom > silentAfter {
-		e.restUntil = now + silentAfter // it takes set-ups and answers none: one a while tells when it is back
+		e.unansweredSince = now
+	} else if e.unanswered > maxUnanswered && now-e.unansweredSince > unresponsiveAfter {
+		e.backOffUntil = now + unresponsiveAfter // one set-up per back-off tests whether it answers again
 	}
 	e.free -= p.Width
-	p.sends++
-	p.out = &attempt{to: e, at: now, direct: e == to, waits: e == to}
+	p.attempts++
+	p.active = &attempt{to: e, sentAt: now, direct: e == to, awaiting: e == to}
 	if e == to {
-		e.underWay = append(e.underWay, now)
+		e.outstanding = append(e.outstanding, now)
 	} else {
-		p.tandems++
+		p.tandemAttempts++
 	}
-	if !p.ran {
-		p.ranAt, p.ranOn = now, e.at
+	if !p.mayHaveRun {
+		p.firstRunAt, p.firstRunOn = now, e.readySwitch
 	}
-	e.ours += p.Width
-	c.host.Send(p.ID, e.at.ID, timeout)
+	e.circuitsInUse += p.Width
+	c.host.Send(p.ID, e.readySwitch.ID, timeout)
 }
 
-// Stands takes word that a call stands.
+// Stands processes the set-up of a call. One of an unknown call or an earlier attempt is ignored.
 func (c *Controller) Stands(now time.Duration, s Stands) {
-	c.hear(now)
+	c.noteEvent(now)
 	p := c.calls[s.Call]
-	if p == nil || p.out == nil || s.Attempt != p.sends-1 {
+	if p == nil || p.active == nil || s.Attempt != p.attempts-1 {
 		return
 	}
-	e, to := p.out.to, c.exchange(p.Destination)
-	p.out.settle()
+	e, to := p.active.to, c.exchange(p.Destination)
+	p.active.clearOutstanding()
 	e.unanswered, to.unanswered, p.stands = 0, 0, true
-	if p.out.direct {
-		e.restUntil = 0 // it takes calls again: a rest after silence or a full line has done its work
+	if p.active.direct {
+		e.backOffUntil = 0 // it sets up calls again, so its back-off is over
 	} else {
-		delete(e.avoid, to.number)
-		delete(to.avoid, e.number)
-		to.proven = e
-	}
-	c.bound += time.Duration(delayShare * (boundOver*float64(s.Took) - float64(c.bound)))
-	if took := float64(s.Took) / float64(time.Millisecond); p.out.direct && took > 0 {
-		e.answered = max(e.answered, p.out.at)
-		if c.least == 0 || took < c.least {
-			c.least = took
+		delete(e.tandemBackOff, to.number)
+		delete(to.tandemBackOff, e.number)
+		to.lastTandem = e
+	}
+	c.setUpBound += time.Duration(delayWeight * (setUpBoundFactor*float64(s.Took) - float64(c.setUpBound)))
+	if took := float64(s.Took) / float64(time.Millisecond); p.active.direct && took > 0 {
+		e.lastAnsweredSend = max(e.lastAnsweredSend, p.active.sentAt)
+		if c.minDelay == 0 || took < c.minDelay {
+			c.minDelay = took
 		}
-		c.shortest = min(c.shortest, took-c.least)
-		e.delay += max(delayShare, min(1, (now-e.stoodAt).Seconds())) * (took - e.delay)
-		e.stoodAt = now
+		c.minPeriodWait = min(c.minPeriodWait, took-c.minDelay)
+		e.setUpDelay += max(delayWeight, min(1, (now-e.lastStoodAt).Seconds())) * (took - e.setUpDelay)
+		e.lastStoodAt = now
 	}
 }
 
-// Ended takes the end of an attempt.
+// Ended processes the end of an attempt: it ends the call or routes it again. The report in the outcome is used
+// even if the call is unknown.
 func (c *Controller) Ended(now time.Duration, o Outcome) {
-	c.hear(now)
-	if x := c.machines[o.Switch]; x != nil {
-		c.learn(now, c.exchange(x.Number), o.Report, true)
+	c.noteEvent(now)
+	if sw := c.switches[o.Switch]; sw != nil {
+		c.applyReport(now, c.exchange(sw.Number), o.Report, true)
 	}
 	p := c.calls[o.Call]
-	if p == nil || p.out == nil || o.Attempt != p.sends-1 {
+	if p == nil || p.active == nil || o.Attempt != p.attempts-1 {
 		return
 	}
-	a := p.out
-	c.release(p)
-	c.judge(now, p, a, o)
+	a := p.active
+	c.releaseCircuits(p)
+	c.applyOutcome(now, p, a, o)
 	if o.Over || o.Result == ResultOK {
-		c.unserved(p) // where it is over and its answer was never heard
+		c.recordUnserved(p) // for a call that is over and whose answer was not received
 		c.drop(p)
 		return
 	}
-	switch p.ran = p.ran || o.Result == ResultError; o.Result {
+	switch p.mayHaveRun = p.mayHaveRun || o.Result == ResultError; o.Result {
 	case ResultTimeout, ResultReset, ResultCancelled:
-		p.ran, p.notUntil = true, now+c.set.ReleaseWait
+		p.mayHaveRun, p.notBefore = true, now+c.settings.ReleaseWait
 	}
 	p.stands = false
 	c.route(now, p)
 }
 
-// judge draws from an outcome what it tells of the exchanges on the way.
-func (c *Controller) judge(now time.Duration, p *pending, a *attempt, o Outcome) {
+// applyOutcome updates the exchanges of an attempt's route from its outcome.
+func (c *Controller) applyOutcome(now time.Duration, p *pendingCall, a *attempt, o Outcome) {
 	e, to := a.to, c.exchange(p.Destination)
 	switch o.Result {
 	case ResultConnectFailed:
-		e.unanswered = max(e.unanswered, silentSends)
-		e.silentFrom = min(e.silentFrom, now-silentAfter-1)
+		e.unanswered = max(e.unanswered, maxUnanswered)
+		e.unansweredSince = min(e.unansweredSince, now-unresponsiveAfter-1)
 	case ResultFull:
 		if !a.direct {
-			shun(now, e, to)
+			backOffPair(now, e, to)
 		}
 		if e.unanswered = 0; o.Reason == ReasonProcessorFull {
-			e.restUntil = now + max(silentAfter, o.Wait)
+			e.backOffUntil = now + max(unresponsiveAfter, o.Wait)
 		} else if o.Reason == ReasonFarFull {
-			to.restUntil = now + silentAfter
+			to.backOffUntil = now + unresponsiveAfter
 		}
 	case ResultMoot:
-		if o.Reason == ReasonProcessorFull { // nothing leaves here: calls wait rather than use up their attempts
-			for _, x := range c.exchanges {
-				x.restUntil = max(x.restUntil, now+time.Duration(c.target*float64(time.Millisecond)))
+		if o.Reason == ReasonProcessorFull { // no set-up can be sent: calls wait and keep their attempts
+			for _, other := range c.exchanges {
+				other.backOffUntil = max(other.backOffUntil, now+time.Duration(c.targetWait*float64(time.Millisecond)))
 			}
 		} else if o.Reason != ReasonHeldBack && !known(o.Report.Free) {
 			e.free = 0
@@ -130,57 +132,57 @@
 	case ResultOK, ResultError:
 		e.unanswered = 0
 	case ResultTimeout:
-		if a.direct && a.at < e.answered { // a processor takes set-ups in turn: this answer was lost
-			c.lossy = now + spans*period
+		if a.direct && a.sentAt < e.lastAnsweredSend { // processors serve set-ups in order, so this answer was lost
+			c.lossyUntil = now + averagedPeriods*ratePeriod
 		}
 	}
 }
 
-// settle takes a direct set-up off those under way.
-func (a *attempt) settle() {
-	if i := slices.Index(a.to.underWay, a.at); a.waits && i >= 0 {
-		a.to.underWay = slices.Delete(a.to.underWay, i, i+1)
+// clearOutstanding removes a direct set-up from the outstanding ones of its exchange.
+func (a *attempt) clearOutstanding() {
+	if i := slices.Index(a.to.outstanding, a.sentAt); a.awaiting && i >= 0 {
+		a.to.outstanding = slices.Delete(a.to.outstanding, i, i+1)
 	}
-	a.waits = false
+	a.awaiting = false
 }
 
-// Left takes word that the caller has gone, or that the call was ended otherwise.
+// Left processes the end of a call for another reason, such as a caller who has hung up. The call gets no answer.
 func (c *Controller) Left(now time.Duration, id CallID) {
 	if p := c.calls[id]; p != nil {
-		c.unserved(p)
+		c.recordUnserved(p)
 		c.drop(p)
 	}
 }
 
-// drop forgets a call and the circuits counted for it.
-func (c *Controller) drop(p *pending) {
+// drop removes a call from the table and releases the circuits counted for it.
+func (c *Controller) drop(p *pendingCall) {
 	delete(c.calls, p.ID)
-	c.leave(p)
-	if c.release(p); p.from != nil {
-		p.from.ours -= p.Width
+	c.dequeue(p)
+	if c.releaseCircuits(p); p.transitFrom != nil {
+		p.transitFrom.circuitsInUse -= p.Width
 	}
 }
 
-// release takes back the circuits counted for an attempt that is over.
-func (c *Controller) release(p *pending) {
-	if p.out != nil {
-		p.out.settle()
-		p.out.to.ours -= p.Width
-		p.out = nil
+// releaseCircuits ends the current attempt, if any, and releases the circuits counted for it.
+func (c *Controller) releaseCircuits(p *pendingCall) {
+	if p.active != nil {
+		p.active.clearOutstanding()
+		p.active.to.circuitsInUse -= p.Width
+		p.active = nil
 	}
 }
 
-// finish gives the final answer: turned away, or given up where a set-up may have run and its class forbids
-// that.
-func (c *Controller) finish(p *pending, wait time.Duration) {
+// finish gives a call its final answer. It rejects the call with the wait as retry advice, or fails it where an
+// attempt may have run and a redial could reach a switch that doesn't recognise the repeat.
+func (c *Controller) finish(p *pendingCall, wait time.Duration) {
 	c.drop(p)
-	if c.unserved(p); p.sends == 0 {
-		c.looks.now++
+	if c.recordUnserved(p); p.attempts == 0 {
+		c.rejectedUnsent.current++
 	}
-	if !c.set.RetryAfter {
+	if !c.settings.RetryAfter {
 		wait = 0
 	}
-	if p.ran && (p.class.Effect == Once || p.class.Effect == Keyed && p.class.Group != ScopeAll) {
+	if p.mayHaveRun && (p.class.Effect == Once || p.class.Effect == Keyed && p.class.Group != ScopeAll) {
 		c.host.Fail(p.ID)
 	} else {
 		c.host.Refuse(p.ID, wait)
--- a/budgets.go
+++ b/budgets.go
@@ -1,4 +1,4 @@
-// Budgets: how much work processors have left, from the calls offered and the reports that came.
+// Budgets: the processing capacity that is left for new calls, from the calls offered and the load reports.
 
 package brookmux
 
@@ -8,179 +8,193 @@
 	"time"
 )
 
-// Work of a call in milliseconds: its first job, done if it is refused too (paper, table 1), and that of the
-// period it starts and the next two (appendix A).
-const lookWork = 50
+// Processing time of a call in milliseconds (paper). rejectWork is that of its first job, which a rejected call
+// costs too (table 1). outgoingWork and incomingWork are those of the period in which the call starts and of the
+// next two (appendix A).
+const rejectWork = 50
 
 var (
-	outWork = [3]float64{141, 88, 21}
-	inWork  = [3]float64{61, 68, 21}
+	outgoingWork = [3]float64{141, 88, 21}
+	incomingWork = [3]float64{61, 68, 21}
 )
 
-// tally counts events of this period and of the last few.
-type tally struct {
-	now  float64
-	past [spans]float64
-	held int
+// rateCounter counts events in the current period and keeps the counts of the last few.
+type rateCounter struct {
+	current float64
+	past    [averagedPeriods]float64 // latest period first
+	periods int                      // number of valid entries in past
 }
 
-// roll closes a period.
-func (t *tally) roll() {
+// roll closes the current period.
+func (t *rateCounter) roll() {
 	copy(t.past[1:], t.past[:])
-	t.past[0], t.now = t.now, 0
-	t.held = min(t.held+1, spans)
+	t.past[0], t.current = t.current, 0
+	t.periods = min(t.periods+1, averagedPeriods)
 }
 
-// rate is the mean over the last periods, in events a second.
-func (t *tally) rate() float64 {
-	if t.held == 0 {
+// rate returns the mean rate over the last periods, in events per second.
+func (t *rateCounter) rate() float64 {
+	if t.periods == 0 {
 		return 0
 	}
 	sum := 0.0
 	for _, v := range t.past {
 		sum += v
 	}
-	return sum / (float64(t.held) * period.Seconds())
+	return sum / (float64(t.periods) * ratePeriod.Seconds())
 }
 
-// last is the rate of the last period.
-func (t *tally) last() float64 { return t.past[0] / period.Seconds() }
+// lastRate returns the rate of the last period, in events per second.
+func (t *rateCounter) lastRate() float64 { return t.past[0] / ratePeriod.Seconds() }
 
-// leftover is the work that calls of the last two periods still bring.
-func (t *tally) leftover(work [3]float64) float64 {
-	return (work[1]*t.past[0] + work[2]*t.past[1]) / 1000 / period.Seconds()
+// residualLoad returns the processor load in the current period from calls that started in the last two.
+func (t *rateCounter) residualLoad(workPerCall [3]float64) float64 {
+	return (workPerCall[1]*t.past[0] + workPerCall[2]*t.past[1]) / 1000 / ratePeriod.Seconds()
 }
 
-// closePeriod takes the rates of the period that ends.
+// closePeriod ends a period: it rolls the counters, probes the exchanges that were called, and updates the redial
+// table and the work scale. The rate of incoming calls is estimated from the circuits of the trunk group that are
+// in use and not by calls of this controller.
 func (c *Controller) closePeriod(now time.Duration) {
 	for _, e := range c.exchanges {
-		e.incoming.now = max(0, e.size-max(0, e.free)-e.ours) / c.width / c.length.Seconds() * period.Seconds()
-		for _, t := range []*tally{&e.offered, &e.admitted, &e.incoming, &e.transit} {
-			t.roll()
+		e.incoming.current = max(0, e.size-max(0, e.free)-e.circuitsInUse) / c.meanWidth /
+			c.meanHold.Seconds() * ratePeriod.Seconds()
+		for _, counter := range []*rateCounter{&e.offered, &e.admitted, &e.incoming, &e.transit} {
+			counter.roll()
 		}
-		e.blocking *= blockFade
-		if c.set.Probes && e.offered.past[0] > 0 && c.set.Reports != ReportsNone && e != c.self && e.at != nil {
-			c.host.Probe(e.at.ID)
+		e.blocking *= blockingDecay
+		if c.settings.Probes && e.offered.past[0] > 0 && c.settings.Reports != ReportsNone &&
+			e != c.local && e.readySwitch != nil {
+			c.host.Probe(e.readySwitch.ID)
 		}
 	}
-	c.looks.roll()
-	for i := range c.worth {
-		c.worth[i].roll()
+	c.rejectedUnsent.roll()
+	for i := range c.worthCounters {
+		c.worthCounters[i].roll()
 	}
-	c.forgetRedials(now)
-	c.rescale(now)
+	c.expireRedials(now)
+	c.updateWorkScale(now)
 }
 
-// rescale sets the per-call work by the own processor's wait, which shows in the set-up delays to all
-// destinations: in the least of them. With a line at both ends of a period the processor was always busy:
-// what came is a period's work and what the line grew by. Until a line has shown, gates are open.
-func (c *Controller) rescale(now time.Duration) {
-	wait, bound := c.shortest, false
+// updateWorkScale estimates the per-call work from the wait at the local processor. That wait is part of the
+// set-up delay to every destination, so the smallest of these bounds it. With a queue at both ends of a period
+// the processor was always busy, and the calls of the period brought one period of work plus the growth of the
+// queue. Until a queue has been seen the scale is 0 and the gates are open.
+func (c *Controller) updateWorkScale(now time.Duration) {
+	excessWait, gateBinds := c.minPeriodWait, false
 	for _, e := range c.exchanges {
-		w, ok := c.wait(now, e)
-		if now-e.stoodAt >= period { // a wait of before is no line: nothing may be under way any more
-			w, ok = c.oldest(now, e)
+		excess, ok := c.excessWait(now, e)
+		if now-e.lastStoodAt >= ratePeriod { // an older wait shows no queue: no set-up may be outstanding
+			excess, ok = c.oldestExcessWait(now, e)
 		}
-		if ok && math.IsInf(c.shortest, 1) {
-			wait = min(wait, max(0, w))
+		if ok && math.IsInf(c.minPeriodWait, 1) {
+			excessWait = min(excessWait, max(0, excess))
 		}
-		bound = bound || e.gate < 1
+		gateBinds = gateBinds || e.gate < 1
 	}
-	if c.shortest = math.Inf(1); math.IsInf(wait, 1) {
-		wait = 0
+	if c.minPeriodWait = math.Inf(1); math.IsInf(excessWait, 1) {
+		excessWait = 0
 	}
-	own, others := c.load((*tally).last)
-	if line := c.target / linePart; min(wait, c.ownWait) > line && own+others > 0 {
-		found := max(lineFall, 1+(wait-c.ownWait)/1000/period.Seconds()) / (own + others)
-		if c.scale == 0 {
-			c.scale = found
+	own, others := c.load((*rateCounter).lastRate)
+	if backlogWait := c.targetWait / backlogWaitDivisor; min(excessWait, c.localWait) > backlogWait && own+others > 0 {
+		measured := max(minBacklogLoad, 1+(excessWait-c.localWait)/1000/ratePeriod.Seconds()) / (own + others)
+		if c.workScale == 0 {
+			c.workScale = measured
 		}
-		c.scale += scaleShare * (found - c.scale)
-	} else if bound && wait < line {
-		c.scale = min(c.scale*scaleDown, 1/max(1e-6, own+others)) // what came was done within the period
+		c.workScale += workScaleWeight * (measured - c.workScale)
+	} else if gateBinds && excessWait < backlogWait {
+		c.workScale = min(c.workScale*workScaleDecay, 1/max(1e-6, own+others)) // the period's work got done
 	}
-	c.ownWait = wait
+	c.localWait = excessWait
 }
 
-// wait is how long, in ms, set-ups toward an exchange wait beyond the least seen to any: by those that stood
-// of late, or by the age of the oldest under way, which tells sooner.
-func (c *Controller) wait(now time.Duration, e *exchange) (float64, bool) {
-	w, ok := 0.0, e.delay > 0 && now-e.stoodAt < delayStale
+// excessWait returns how long, in ms, set-ups to an exchange wait beyond the minimum delay to any exchange, and
+// whether that is known. It uses recent set-ups that stood, or the age of the oldest outstanding one, which
+// shows a longer wait earlier.
+func (c *Controller) excessWait(now time.Duration, e *exchange) (float64, bool) {
+	excess, ok := 0.0, e.setUpDelay > 0 && now-e.lastStoodAt < maxFigureAge
 	if ok {
-		// A line that nothing new was seen of has been worked off meanwhile, or is about to be.
-		w = (e.delay - c.least) * math.Exp2(-max(0, (now-e.stoodAt-delayFades).Seconds())/delayFades.Seconds())
+		// Without a new sample the queue has drained since, or is about to.
+		excess = (e.setUpDelay - c.minDelay) *
+			math.Exp2(-max(0, (now-e.lastStoodAt-delayHalfLife).Seconds())/delayHalfLife.Seconds())
 	}
-	if age, under := c.oldest(now, e); under && age > w {
+	if age, sending := c.oldestExcessWait(now, e); sending && age > excess {
 		return age, true
 	}
-	return w, ok
+	return excess, ok
 }
 
-// oldest is how long, in ms, the oldest direct set-up under way to an exchange waits beyond the least seen.
-func (c *Controller) oldest(now time.Duration, e *exchange) (float64, bool) {
-	// One that a later one has overtaken was lost: it tells nothing of a line.
-	i := slices.IndexFunc(e.underWay, func(sent time.Duration) bool { return sent > e.answered })
-	if i < 0 || c.least <= 0 {
+// oldestExcessWait returns how long, in ms, the oldest outstanding direct set-up to an exchange has waited beyond
+// the minimum delay, and whether there is one.
+func (c *Controller) oldestExcessWait(now time.Duration, e *exchange) (float64, bool) {
+	// A set-up that a later one has overtaken was lost and shows no queue.
+	i := slices.IndexFunc(e.outstanding, func(sent time.Duration) bool { return sent > e.lastAnsweredSend })
+	if i < 0 || c.minDelay <= 0 {
 		return 0, false
 	}
-	return float64((now-e.underWay[i])/time.Millisecond) - c.least, true
+	return float64((now-e.outstanding[i])/time.Millisecond) - c.minDelay, true
 }
 
-// pressed tells whether set-ups to an exchange wait longer than wanted, by the oldest under way. Gates tell
-// later, and until then every set-up sent makes the line longer; now each answer lets the next one out. Calls
-// worth more than most go on, and calls in transit, which have cost their work.
-func (c *Controller) pressed(now time.Duration, p *pending, e *exchange) bool {
-	age, ok := c.oldest(now, e)
-	return ok && age > c.target && !p.Transit && p.worth < worthier*c.mean
+// queueTooLong reports whether set-ups to an exchange wait longer than the target, by the oldest outstanding one.
+// The gates react later, and until then every set-up sent would lengthen the queue; this way each answer releases
+// the next set-up. It doesn't hold calls of high worth, nor calls in transit, whose processing is already spent.
+func (c *Controller) queueTooLong(now time.Duration, p *pendingCall, e *exchange) bool {
+	age, ok := c.oldestExcessWait(now, e)
+	return ok && age > c.targetWait && !p.Transit && p.worth < highWorthFactor*c.meanWorth
 }
 
-// load is the work of own calls that start and of all others at the own processor, in the paper's figures.
-func (c *Controller) load(rate func(*tally) float64) (own, others float64) {
-	others = lookWork * rate(&c.looks) / 1000
+// load returns the load of the local processor from local calls that start (own) and from everything else
+// (others), by the paper's processing times.
+func (c *Controller) load(rate func(*rateCounter) float64) (own, others float64) {
+	others = rejectWork * rate(&c.rejectedUnsent) / 1000
 	for _, e := range c.exchanges {
-		own += rate(&e.admitted) * outWork[0] / 1000
-		others += (rate(&e.transit)*outWork[0] + rate(&e.incoming)*inWork[0]) / 1000
-		others += e.admitted.leftover(outWork) + e.incoming.leftover(inWork) + e.transit.leftover(outWork)
+		own += rate(&e.admitted) * outgoingWork[0] / 1000
+		others += (rate(&e.transit)*outgoingWork[0] + rate(&e.incoming)*incomingWork[0]) / 1000
+		others += e.admitted.residualLoad(outgoingWork) + e.incoming.residualLoad(incomingWork) +
+			e.transit.residualLoad(outgoingWork)
 	}
 	return own, others
 }
 
-// ownBudget is what the own processor has left for new calls of its subscribers (paper, 2.3, eq. 8).
-func (c *Controller) ownBudget(now time.Duration) float64 {
-	_, others := c.load((*tally).rate)
-	return ceiling*c.warmth(now, c.self) - others*c.scale
+// localBudget returns the load that the local processor has left for new calls of its subscribers (paper, 2.3,
+// eq. 8).
+func (c *Controller) localBudget(now time.Duration) float64 {
+	_, others := c.load((*rateCounter).rate)
+	return targetLoad*c.warmShare(now, c.local) - others*c.workScale
 }
 
-// farLimit is the largest gate that a destination's processor allows (paper, 3.1, eq. 9).
-func (c *Controller) farLimit(now time.Duration, e *exchange, offered float64) float64 {
+// farGateLimit returns the largest gate that a destination's processor allows (paper, 3.1, eq. 9). A share that
+// the processor asks senders to hold back takes precedence; it halves every second once the report is too old.
+func (c *Controller) farGateLimit(now time.Duration, e *exchange, offered float64) float64 {
 	if offered <= 0 {
 		return 1
 	}
 	if r := e.report; known(r.HoldBack) {
-		age := max(0, (now - e.reported).Seconds())
-		return max(0, min(1, 1-holdTwice*r.HoldBack*math.Exp2(-max(0, age-delayStale.Seconds()))))
+		age := max(0, (now - e.reportedAt).Seconds())
+		return max(0, min(1, 1-holdBackFactor*r.HoldBack*math.Exp2(-max(0, age-maxFigureAge.Seconds()))))
 	}
-	ours := e.admitted.last()*inWork[0]/1000 + e.admitted.leftover(inWork)
-	theirs := e.incoming.rate() * outWork[0] / 1000
-	left := e.admitted.leftover(inWork) + e.incoming.leftover(outWork)
-	back := max(0, c.farLoad(now, e)-(ours+theirs)*c.scale)
-	budget := ceiling*c.warmth(now, e) - back - (theirs+left)*c.scale
-	return max(0, min(1, budget/max(1e-6, c.scale*inWork[0]/1000*offered)))
+	ourLoad := e.admitted.lastRate()*incomingWork[0]/1000 + e.admitted.residualLoad(incomingWork)
+	theirLoad := e.incoming.rate() * outgoingWork[0] / 1000
+	residual := e.admitted.residualLoad(incomingWork) + e.incoming.residualLoad(outgoingWork)
+	background := max(0, c.farLoad(now, e)-(ourLoad+theirLoad)*c.workScale)
+	budget := targetLoad*c.warmShare(now, e) - background - (theirLoad+residual)*c.workScale
+	return max(0, min(1, budget/max(1e-6, c.workScale*incomingWork[0]/1000*offered)))
 }
 
-// farLoad is a far processor's load from its report, else from another figure, else from own set-up delays.
+// farLoad returns a far processor's load: its reported utilisation, else an estimate from its reported wait or
+// queue, else one from the local set-up delays.
 func (c *Controller) farLoad(now time.Duration, e *exchange) float64 {
-	wait := 0.0
-	fresh := now-e.reported < delayStale
+	excessWait := 0.0
+	fresh := now-e.reportedAt < maxFigureAge
 	switch {
 	case fresh && known(e.report.Util):
 		return e.report.Util
 	case fresh && known(e.report.Wait):
-		wait = e.report.Wait
+		excessWait = e.report.Wait
 	case fresh && known(e.report.Queue) && known(e.report.Rate):
-		wait = 1000 * e.report.Queue / max(1, e.report.Rate)
+		excessWait = 1000 * e.report.Queue / max(1, e.report.Rate)
 	default:
-		wait, _ = c.wait(now, e)
+		excessWait, _ = c.excessWait(now, e)
 	}
-	return ceiling * wait / c.target
+	return targetLoad * excessWait / c.targetWait
 }
--- a/controller.go
+++ b/controller.go
@@ -1,4 +1,4 @@
-// The controller and what it knows of exchanges. The types, events and actions stand in api.go.
+// The Controller and its state for each exchange. api.go declares the public types, events and actions.
 
 package brookmux
 
@@ -11,280 +11,290 @@
 	"time"
 )
 
-// The tuned values, with their reasons.
+// Tuning parameters. References to the paper are to the publication that the load control follows.
 const (
-	period  = time.Second // between two closings of the rates; the paper's 5 s outlast whole bursts
-	resets  = 3           // settings of the gates in a period: far reports are news within less than one
-	spans   = 5           // periods averaged for a rate (paper, appendix A)
-	ceiling = 0.95        // a processor's load that gates aim at (paper, 2.3)
+	ratePeriod           = time.Second // interval between rate computations; 5 s (paper) outlasts whole bursts
+	gateUpdatesPerPeriod = 3           // reports of other exchanges arrive more often than once a period
+	averagedPeriods      = 5           // number of periods in the average rate (paper, appendix A)
+	targetLoad           = 0.95        // processor load that the gates aim at (paper, 2.3)
 
-	delayPart  = 3               // set-ups may wait this part of the shortest aim
-	delayShare = 0.2             // weight of one new set-up delay in the average
-	delayFades = time.Second / 4 // a set-up delay counts whole for so long, then half after each further one
-	delayStale = 2 * time.Second // a set-up delay older than this tells nothing
-	holdTwice  = 2               // what far exchanges hold back their own callers go on sending there
-	scaleShare = 0.5             // weight of one period in the per-call work
-	linePart   = 3               // a wait over this part of the target is a line that does not empty
-	lineFall   = 0.5             // least that a processor with a line is taken to have been given in a period
-	scaleDown  = 0.85            // a period's fall of the per-call work while gates bind and delays are small
-	mixShare   = 0.02            // weight of one call in the mean width, length and worth
+	targetWaitDivisor  = 3               // the target wait is the shortest aim over this
+	delayWeight        = 0.2             // weight of a new sample in the smoothed set-up delay
+	delayHalfLife      = time.Second / 4 // a delay counts in full for this time, then halves every further one
+	maxFigureAge       = 2 * time.Second // delays and reports older than this are not used
+	holdBackFactor     = 2               // multiplies HoldBack, since the far exchange's own callers go on
+	workScaleWeight    = 0.5             // weight of a new period in the smoothed work scale
+	backlogWaitDivisor = 3               // a wait above the target over this is a queue that does not drain
+	minBacklogLoad     = 0.5             // minimum load assumed for a period with a queue at both ends
+	workScaleDecay     = 0.85            // per period, while gates restrict traffic and delays are small
+	callWeight         = 0.02            // weight of one call in the mean width, holding time and worth
 
-	worthier = 1.5 // times the mean worth: such a call is not held before a line
+	highWorthFactor = 1.5 // a call worth this times the mean worth does not wait for a long queue
 
-	reserveLeast = 2.0  // circuits kept for direct calls (design)
-	blockShare   = 0.05 // weight of one call in the share of direct calls blocked
-	blockFade    = 0.8  // what a period leaves of that share
-	reserveMost  = 0.3  // share of a group that the growing reserve may reach
+	minReserve      = 2.0  // circuits reserved for direct calls (design)
+	blockingWeight  = 0.05 // weight of one call in the share of blocked direct calls
+	blockingDecay   = 0.8  // factor per period for that share
+	maxReserveShare = 0.3  // maximum reserve as a share of the group
 
-	silentSends  = 3                      // set-ups without any answer that make a processor suspect
-	silentAfter  = time.Second            // and for how long; a full one rests as long
-	tandemTries  = 1                      // attempts over a tandem, a call (design: one random tandem)
-	pairRestMost = 8 * time.Second        // a group that turns calls back rests longer each time
-	leastSetUp   = 20 * time.Millisecond  // no attempt is worth making with less time left
-	boundOver    = 3                      // mean set-up delays that most set-ups take at most
-	fallSafe     = 2                      // a cold processor is sent its part of this multiple
-	mostRedials  = 8192                   // numbers remembered at a time
-	askAgain     = 500 * time.Millisecond // after a failed call to discovery
+	maxUnanswered     = 3                      // a processor with more set-ups unanswered ...
+	unresponsiveAfter = time.Second            // ... for longer is unresponsive; also the minimum back-off
+	maxTandemAttempts = 1                      // per call (design: one random tandem)
+	maxPairBackOff    = 8 * time.Second        // the back-off of a group doubles with each rejection
+	minSetUpTime      = 20 * time.Millisecond  // no attempt is made with less time left
+	setUpBoundFactor  = 3                      // most set-ups take at most this multiple of the mean delay
+	coldSafetyFactor  = 2                      // FallMultiple below this reduces the share sent to a cold one
+	maxRedials        = 8192                   // maximum entries in the redial table
+	followRetryDelay  = 500 * time.Millisecond // minimum wait after a failed request to discovery
 )
 
-// exchange is a destination (a pool, where there are pools) with the trunk group toward it.
+// exchange is the state of a destination (a pool, with Settings.Pools) and of the trunk group toward it.
 type exchange struct {
-	number     int
-	at         *Switch // its ready switch, nil if there is none
-	free, size float64 // of the own group, Absent until told
-	ours       float64 // its circuits in use by calls that this controller handles
+	number        int
+	readySwitch   *Switch // nil if no switch is ready
+	free, size    float64 // circuits of the local group toward it, Absent until reported
+	circuitsInUse float64 // circuits in use by calls that this controller handles
 
-	offered, admitted, incoming, transit tally
-	gate                                 float64 // share of new calls admitted
+	offered, admitted, incoming, transit rateCounter
+	gate                                 float64 // share of new calls that is admitted, 0 to 1
 
-	report     Report
-	reported   time.Duration
-	delay      float64         // smoothed set-up delay, ms
-	answered   time.Duration   // when the last-sent direct set-up that stood was sent
-	stoodAt    time.Duration   // when a direct set-up last stood
-	underWay   []time.Duration // when the direct set-ups now under way were sent
-	unanswered int             // set-ups since it last answered
-	silentFrom time.Duration
-	restUntil  time.Duration
-	blocking   float64      // recent share of direct calls that found no circuit
-	avoid      map[int]rest // as tandem: not for these destinations
-	proven     *exchange    // the tandem over which a call to it stood last
+	report           Report
+	reportedAt       time.Duration
+	setUpDelay       float64         // smoothed set-up delay, ms
+	lastAnsweredSend time.Duration   // send time of the most recently sent direct set-up that stood
+	lastStoodAt      time.Duration   // time at which a direct set-up last stood
+	outstanding      []time.Duration // send times of the direct set-ups without an answer
+	unanswered       int             // set-ups since its last answer
+	unansweredSince  time.Duration
+	backOffUntil     time.Duration
+	blocking         float64         // recent share of direct calls that found no free circuit
+	tandemBackOff    map[int]backOff // back-off as a tandem, by destination number
+	lastTandem       *exchange       // tandem of the last call that stood over one, nil if none
 }
 
-// pending is a call that is owed an answer.
-type pending struct {
+// pendingCall is a call from its offer until it ends.
+type pendingCall struct {
 	Call
-	class          Class
-	first          time.Duration // when its caller first tried
-	sends, tandems int           // attempts, and those over a tandem
-	out            *attempt
-	stands         bool
-	ran            bool // an attempt may have run
-	ranAt          time.Duration
-	ranOn          *Switch
-	notUntil       time.Duration // release wait
-	worth          float64       // what it is worth if it stands now
-	waits, gated   bool          // it waits for a circuit or, gated, for the gate
-	from           *exchange     // in transit: where it holds circuits from
+	class                    Class
+	firstTried               time.Duration // time of the caller's first try
+	attempts, tandemAttempts int           // number of all attempts, and of those over a tandem
+	active                   *attempt      // current attempt, nil if none
+	stands                   bool
+	mayHaveRun               bool          // an attempt may have run
+	firstRunAt               time.Duration // send time of the first attempt that may have run
+	firstRunOn               *Switch       // its switch
+	notBefore                time.Duration // end of the wait for a release
+	worth                    float64       // worth at its offer, 0 in transit
+	queued, gated            bool          // in the queue; gated: it waits for the gate, not for a circuit
+	transitFrom              *exchange     // in transit: the exchange whose circuits it occupies
 }
 
-// Controller is the call control of one exchange. Use New.
+// Controller makes the call-control decisions of one exchange. Create it with New.
 type Controller struct {
-	set            Settings
-	host           Host
-	rng            *rand.Rand
-	machines       map[SwitchID]*Switch
-	byNumber       map[int]*exchange
-	exchanges      []*exchange // by number
-	calls          map[CallID]*pending
-	self           *exchange                  // the own exchange, nil with pools
-	target         float64                    // the wait, in ms, at which a processor is as busy as wanted
-	least          float64                    // least set-up delay seen, ms; 0 if none
-	shortest       float64                    // shortest wait of the set-ups that stood in this period, ms
-	gap, heard     time.Duration              // nothing was heard for so long before the events of that time
-	patience       []time.Duration            // the longest time that callers of a class left to a try
-	ownWait        float64                    // the own processor's wait a period ago, in ms
-	looks          tally                      // calls turned away unsent, looked at all the same
-	scale          float64                    // per-call work against the paper's
-	width          float64                    // mean circuits a call takes
-	bound          time.Duration              // a set-up that takes longer is unlikely to stand
-	lossy          time.Duration              // until then answers are taken to get lost
-	length         time.Duration              // mean length of a call
-	mean           float64                    // mean worth of the calls offered
-	worth          []worthTally               // what calls offered were worth
-	redials        map[caller][]time.Duration // first tries of calls that may be dialled again
-	waiting        []*pending                 // for a circuit
-	turn           int                        // of the settings of the gates in a period
-	started, spent bool                       // the first timer is set; no budget was left for own calls
+	settings              Settings
+	host                  Host
+	rng                   *rand.Rand
+	switches              map[SwitchID]*Switch
+	exchangeByNumber      map[int]*exchange
+	exchanges             []*exchange // sorted by number
+	calls                 map[CallID]*pendingCall
+	local                 *exchange                     // local exchange, nil with pools
+	targetWait            float64                       // wait at a processor at the target load, ms
+	minDelay              float64                       // minimum set-up delay seen, ms; 0 if none
+	minPeriodWait         float64                       // minimum wait of the set-ups that stood this period, ms
+	eventGap, lastEventAt time.Duration                 // eventGap: time without events before lastEventAt
+	callerTimeout         []time.Duration               // longest time to expiry seen at an offer, by class
+	localWait             float64                       // wait at the local processor a period ago, ms
+	rejectedUnsent        rateCounter                   // calls rejected without an attempt, which cost work too
+	workScale             float64                       // per-call work relative to the paper's figures
+	meanWidth             float64                       // mean number of circuits of a call
+	setUpBound            time.Duration                 // a set-up that takes longer is unlikely to stand
+	lossyUntil            time.Duration                 // until then answers are assumed to be lost at times
+	meanHold              time.Duration                 // mean holding time of a call
+	meanWorth             float64                       // mean worth of the calls offered
+	worthCounters         []worthCounter                // calls offered, by worth
+	redials               map[callerKey][]time.Duration // first tries of calls that may be redialled
+	queue                 []*pendingCall                // waiting for a circuit or gate, by descending worth
+	gateUpdate            int                           // index of the next gate update in the period
+	started, budgetSpent  bool                          // first timer set; no budget left for local calls
 }
 
-const periodToken, followToken = 0, 2 // of the own timers; a call's is its ID times two, plus one
+const periodToken, followToken = 0, 2 // timer tokens; that of a call is twice its ID, plus one
 
-// New returns the controller of one exchange, or an error that names the setting it can't serve.
+// New returns the Controller of one exchange, or an error that names the first invalid setting. The same seed
+// and events give the same actions. The first timer is set on the first Members or Offered event.
 func New(s Settings, seed uint64, host Host) (*Controller, error) {
 	if host == nil {
 		return nil, errors.New("brookmux: host is missing")
 	} else if err := s.check(); err != nil {
 		return nil, err
 	}
-	c := &Controller{set: s, host: host, rng: rand.New(rand.NewPCG(seed, 1)), machines: map[SwitchID]*Switch{},
-		byNumber: map[int]*exchange{}, redials: map[caller][]time.Duration{}, calls: map[CallID]*pending{},
-		width: 1, shortest: math.Inf(1)}
-	c.use(s)
-	c.length = max(time.Second, s.Classes[0].Hold)
+	c := &Controller{settings: s, host: host, rng: rand.New(rand.NewPCG(seed, 1)),
+		switches: map[SwitchID]*Switch{}, exchangeByNumber: map[int]*exchange{},
+		redials: map[callerKey][]time.Duration{}, calls: map[CallID]*pendingCall{},
+		meanWidth: 1, minPeriodWait: math.Inf(1)}
+	c.applySettings(s)
+	c.meanHold = max(time.Second, s.Classes[0].Hold)
 	if !s.Pools {
-		c.self = c.exchange(s.Here)
+		c.local = c.exchange(s.Here)
 	}
 	return c, nil
 }
 
-// use takes settings that were checked.
-func (c *Controller) use(s Settings) {
+// applySettings puts settings in force that check has accepted.
+func (c *Controller) applySettings(s Settings) {
 	aim := s.Classes[0].Aim
-	for _, k := range s.Classes {
-		aim = min(aim, k.Aim)
+	for _, class := range s.Classes {
+		aim = min(aim, class.Aim)
 	}
-	c.set = s
-	c.set.Instances = max(1, s.Instances)
-	c.target = max(1, float64(aim/time.Millisecond)/delayPart)
-	c.patience = append(c.patience, make([]time.Duration, len(s.Classes)-len(c.patience))...)
+	c.settings = s
+	c.settings.Instances = max(1, s.Instances)
+	c.targetWait = max(1, float64(aim/time.Millisecond)/targetWaitDivisor)
+	c.callerTimeout = append(c.callerTimeout, make([]time.Duration, len(s.Classes)-len(c.callerTimeout))...)
 }
 
-// Configure puts other settings in force, or returns an error and changes nothing. Classes keep their places,
-// new ones come after them; calls that were offered before keep what they were offered with.
+// Configure replaces the settings, or returns an error and changes nothing. Existing classes keep their index
+// and new ones are appended. Calls offered before keep the class they were offered with.
 func (c *Controller) Configure(s Settings) error {
 	if err := s.check(); err != nil {
 		return err
-	} else if s.Here != c.set.Here || s.Pools != c.set.Pools || len(s.Classes) < len(c.set.Classes) {
-		return errors.New("brookmux: Here, Pools and the places of Classes stay for good")
+	} else if s.Here != c.settings.Here || s.Pools != c.settings.Pools ||
+		len(s.Classes) < len(c.settings.Classes) {
+		return errors.New("brookmux: Here and Pools can't be changed, and no class can be removed")
 	}
-	c.use(s)
+	c.applySettings(s)
 	return nil
 }
 
-// exchange returns the exchange of a number, made when first heard of.
+// exchange returns the exchange with a number and creates it if it does not exist.
 func (c *Controller) exchange(number int) *exchange {
-	if e := c.byNumber[number]; e != nil {
+	if e := c.exchangeByNumber[number]; e != nil {
 		return e
 	}
-	e := &exchange{number: number, free: Absent, size: Absent, gate: 1, avoid: map[int]rest{},
+	e := &exchange{number: number, free: Absent, size: Absent, gate: 1, tandemBackOff: map[int]backOff{},
 		report: Report{Absent, Absent, Absent, Absent, Absent, Absent, Absent, Absent}}
-	c.byNumber[number] = e
+	c.exchangeByNumber[number] = e
 	c.exchanges = append(c.exchanges, e)
 	slices.SortFunc(c.exchanges, func(a, b *exchange) int { return cmp.Compare(a.number, b.number) })
 	return e
 }
 
-// start sets the first timer, once the clock is known.
+// start sets the first timer and, with Settings.Ask, requests the membership list. Only the first call has an
+// effect: it comes with the first event, when the time is known.
 func (c *Controller) start() {
 	if !c.started {
-		c.host.SetTimer(period, periodToken)
+		c.host.SetTimer(ratePeriod, periodToken)
 	}
-	if !c.started && c.set.Ask {
+	if !c.started && c.settings.Ask {
 		c.host.Follow()
 	}
 	c.started = true
 }
 
-// Members takes the list's word on switches.
+// Members processes the membership list or a change to it. After a failed request it schedules the next one.
 func (c *Controller) Members(now time.Duration, m Members) {
 	c.start()
 	if m.Kind == Failed {
-		c.host.SetTimer(askAgain+time.Duration(c.rng.Int64N(int64(askAgain))), followToken)
+		c.host.SetTimer(followRetryDelay+time.Duration(c.rng.Int64N(int64(followRetryDelay))), followToken)
 		return
 	}
 	if m.Kind != Delta {
-		clear(c.machines)
+		clear(c.switches)
 	}
-	for _, s := range m.Switches {
-		c.exchange(s.Number)
-		if c.machines[s.ID] = &s; s.State == Gone { // another will come under another ID
-			delete(c.machines, s.ID)
+	for _, sw := range m.Switches {
+		c.exchange(sw.Number)
+		if c.switches[sw.ID] = &sw; sw.State == Gone { // a replacement has another ID
+			delete(c.switches, sw.ID)
 		}
 	}
-	c.settle(now)
+	c.chooseSwitches(now)
 }
 
-// settle chooses each exchange's switch: the ready one that started last.
-func (c *Controller) settle(now time.Duration) {
+// chooseSwitches selects the switch of each exchange: the ready one that started last. When the switch
+// changes or restarts, the report and back-off of its predecessor are cleared.
+func (c *Controller) chooseSwitches(now time.Duration) {
 	best := map[int]*Switch{}
-	for _, x := range c.machines {
-		if b := best[x.Number]; x.State == Ready &&
-			(b == nil || x.Since > b.Since || x.Since == b.Since && x.ID > b.ID) {
-			best[x.Number] = x
+	for _, sw := range c.switches {
+		if b := best[sw.Number]; sw.State == Ready &&
+			(b == nil || sw.Since > b.Since || sw.Since == b.Since && sw.ID > b.ID) {
+			best[sw.Number] = sw
 		}
 	}
 	for _, e := range c.exchanges {
-		was := e.at
-		e.at = best[e.number]
-		if e.at != nil && (was == nil || was.ID != e.at.ID || was.Since != e.at.Since) {
-			e.unanswered, e.restUntil = 0, 0
-			e.report, e.reported = Report{Absent, Absent, Absent, Absent, Absent, Absent, Absent, Absent}, 0
+		previous := e.readySwitch
+		e.readySwitch = best[e.number]
+		if e.readySwitch != nil && (previous == nil ||
+			previous.ID != e.readySwitch.ID || previous.Since != e.readySwitch.Since) {
+			e.unanswered, e.backOffUntil = 0, 0
+			e.report, e.reportedAt = Report{Absent, Absent, Absent, Absent, Absent, Absent, Absent, Absent}, 0
 		}
-		e.gate = min(e.gate, c.coldShare(now, e))
+		e.gate = min(e.gate, c.coldGate(now, e))
 	}
 }
 
-// warmth is the share of its work that an exchange's processor can do by now at least, 1 when warm.
-func (c *Controller) warmth(now time.Duration, e *exchange) float64 {
-	if e == nil || e.at == nil || e.at.Since <= 0 || now-e.at.Since >= c.set.WarmWithin {
+// warmShare returns the minimum share of its full capacity that an exchange's processor has now, 1 when warm.
+func (c *Controller) warmShare(now time.Duration, e *exchange) float64 {
+	if e == nil || e.readySwitch == nil || e.readySwitch.Since <= 0 ||
+		now-e.readySwitch.Since >= c.settings.WarmWithin {
 		return 1
 	}
-	age := max(0, now-e.at.Since)
-	return c.set.ColdFrom + (1-c.set.ColdFrom)*float64(age)/float64(c.set.WarmWithin)
+	age := max(0, now-e.readySwitch.Since)
+	return c.settings.ColdFrom + (1-c.settings.ColdFrom)*float64(age)/float64(c.settings.WarmWithin)
 }
 
-// coldShare is the largest gate while an exchange's processor, or the own one, is cold: each controller sends
-// its usual traffic times what it can do by now, so that all together stay within that, at one start or many.
-func (c *Controller) coldShare(now time.Duration, e *exchange) float64 {
-	share := min(c.warmth(now, e), c.warmth(now, c.self))
-	if share == 1 || c.set.FallMultiple <= 0 {
+// coldGate returns the largest gate while an exchange's processor, or the local one, is cold. Each controller
+// scales its normal traffic by the processor's current capacity share, so that all controllers together stay
+// within that capacity, whether one processor has started or many.
+func (c *Controller) coldGate(now time.Duration, e *exchange) float64 {
+	share := min(c.warmShare(now, e), c.warmShare(now, c.local))
+	if share == 1 || c.settings.FallMultiple <= 0 {
 		return share
 	}
-	return share * min(1, c.set.FallMultiple/fallSafe)
+	return share * min(1, c.settings.FallMultiple/coldSafetyFactor)
 }
 
-// known tells whether a reported figure can be used.
+// known reports whether a reported value can be used: it is neither Absent nor infinite nor NaN.
 func known(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
 
-// learn takes a report's figures.
-func (c *Controller) learn(now time.Duration, e *exchange, r Report, full bool) {
+// applyReport stores the circuits of a report and, with withFigures, the load figures of its processor if it
+// has any.
+func (c *Controller) applyReport(now time.Duration, e *exchange, r Report, withFigures bool) {
 	if known(r.Size) {
 		e.size = r.Size
 	}
 	if known(r.Free) {
 		e.free = r.Free
 	}
-	if full && (known(r.Queue) || known(r.Util) || known(r.Wait) || known(r.Rate) || known(r.HoldBack)) {
-		e.report, e.reported = r, now
+	if withFigures && (known(r.Queue) || known(r.Util) || known(r.Wait) || known(r.Rate) || known(r.HoldBack)) {
+		e.report, e.reportedAt = r, now
 	}
 }
 
-// Probed takes a probe's answer, or unasked word of changed circuits.
+// Probed processes the answer to a probe, or an unsolicited report of changed circuits, and retries queued
+// calls. A failed probe and one of an unknown switch are ignored.
 func (c *Controller) Probed(now time.Duration, p ProbeResult) {
-	c.hear(now)
-	x := c.machines[p.Switch]
-	if x == nil || !p.OK {
+	c.noteEvent(now)
+	sw := c.switches[p.Switch]
+	if sw == nil || !p.OK {
 		return
 	}
-	e := c.exchange(x.Number)
-	c.learn(now, e, p.Report, !p.Unasked)
-	c.serve(now, e)
+	e := c.exchange(sw.Number)
+	c.applyReport(now, e, p.Report, !p.Unasked)
+	c.retryQueued(now, e)
 }
 
-// Timer takes one of the own timers.
+// Timer processes the expiry of a timer that was set with Host.SetTimer.
 func (c *Controller) Timer(now time.Duration, token uint64) {
-	c.hear(now)
+	c.noteEvent(now)
 	switch {
 	case token == periodToken:
-		c.host.SetTimer(period/resets, periodToken)
-		c.setGates(now)
+		c.host.SetTimer(ratePeriod/gateUpdatesPerPeriod, periodToken)
+		c.updateGates(now)
 	case token == followToken:
 		c.host.Follow()
 	default:
-		if p := c.calls[CallID(token/2)]; p != nil && p.out == nil && !p.stands {
-			if c.leave(p); p.gated {
-				c.finish(p, c.set.MaxRetryAfter)
+		if p := c.calls[CallID(token/2)]; p != nil && p.active == nil && !p.stands {
+			if c.dequeue(p); p.gated {
+				c.finish(p, c.settings.MaxRetryAfter)
 			} else {
 				c.route(now, p)
 			}
@@ -292,9 +302,10 @@
 	}
 }
 
-// hear notes how long nothing was heard before this batch of events: what it brings may be as old.
-func (c *Controller) hear(now time.Duration) {
-	if now > c.heard {
-		c.gap, c.heard = now-c.heard, now
+// noteEvent records how long there was no event before this batch of events. After a pause of the process the
+// events of the batch can be as old as that.
+func (c *Controller) noteEvent(now time.Duration) {
+	if now > c.lastEventAt {
+		c.eventGap, c.lastEventAt = now-c.lastEventAt, now
 	}
 }
--- a/example_test.go
+++ b/example_test.go
@@ -7,7 +7,7 @@
 	"brookmux"
 )
 
-// printer is a Host that prints what it is asked to do.
+// printer is a Host that prints the actions.
 type printer struct{}
 
 func (printer) Send(c brookmux.CallID, to brookmux.SwitchID, _ time.Duration) {
@@ -20,7 +20,7 @@
 func (printer) Follow()                                   {}
 func (printer) Log(string)                                {}
 
-// A call controller hands the module its list of switches, then each call, and carries out what it asks.
+// A call controller passes the membership list to the Controller, then each call, and carries out the actions.
 func Example() {
 	settings := brookmux.Settings{
 		Instances: 2, Here: 0, MaxAttempts: 4, ReleaseWait: 300 * time.Millisecond,
--- a/gates.go
+++ b/gates.go
@@ -1,4 +1,4 @@
-// Gates: which calls are admitted to a destination.
+// Gates: admission control per destination.
 
 package brookmux
 
@@ -9,82 +9,84 @@
 	"time"
 )
 
-// worthTally counts the calls offered of one worth.
-type worthTally struct {
+// worthCounter counts the offered calls of one worth.
+type worthCounter struct {
 	worth float64
-	tally
+	rateCounter
 }
 
-// setGates sets the gates anew, with the rates of the periods that are over.
-func (c *Controller) setGates(now time.Duration) {
-	if c.turn == 0 {
+// updateGates recomputes the gates from the rates of the closed periods, then retries the queued calls.
+func (c *Controller) updateGates(now time.Duration) {
+	if c.gateUpdate == 0 {
 		c.closePeriod(now)
 	}
-	c.turn = (c.turn + 1) % resets
-	own := c.ownBudget(now)
-	if c.spent != (own <= 0) {
-		c.spent = own <= 0
-		c.host.Log(fmt.Sprintf("no budget left for own calls: %v", c.spent))
+	c.gateUpdate = (c.gateUpdate + 1) % gateUpdatesPerPeriod
+	budget := c.localBudget(now)
+	if c.budgetSpent != (budget <= 0) {
+		c.budgetSpent = budget <= 0
+		c.host.Log(fmt.Sprintf("no processor budget left for local calls: %v", c.budgetSpent))
 	}
-	var limits []limit
+	var limits []gateLimit
 	for _, e := range c.exchanges {
-		if rate := e.offered.rate(); e != c.self {
-			limits = append(limits, limit{e, rate, min(c.farLimit(now, e, rate), c.coldShare(now, e))})
+		if rate := e.offered.rate(); e != c.local {
+			limits = append(limits, gateLimit{e, rate, min(c.farGateLimit(now, e, rate), c.coldGate(now, e))})
 		}
 	}
-	fill(own/max(1e-6, c.scale*outWork[0]/1000), limits)
-	for _, p := range slices.Clone(c.waiting) {
+	fillGates(budget/max(1e-6, c.workScale*outgoingWork[0]/1000), limits)
+	for _, p := range slices.Clone(c.queue) {
 		if p.gated {
-			c.enter(now, p)
-		} else if e := c.pick(now, p); e != nil {
+			c.tryGate(now, p)
+		} else if e := c.pickRoute(now, p); e != nil {
 			c.send(now, p, e)
 		}
 	}
 }
 
-// limit is a destination with its offered rate and the largest gate that its processor allows.
-type limit struct {
-	to         *exchange
-	rate, most float64
+// gateLimit is a destination with its offered rate in calls per second and the largest gate that it permits.
+type gateLimit struct {
+	to          *exchange
+	rate, limit float64
 }
 
-// fill raises one common gate until the budget, in calls a second, is spent, each under its own limit.
-func fill(budget float64, limits []limit) {
-	open := 0.0
+// fillGates distributes the budget, in calls per second: each gate is its limit or, if lower, a common value at
+// which the budget is used up.
+func fillGates(budget float64, limits []gateLimit) {
+	unassigned := 0.0
 	for _, l := range limits {
-		open += l.rate
+		unassigned += l.rate
 	}
-	slices.SortStableFunc(limits, func(a, b limit) int { return cmp.Compare(a.most, b.most) })
+	slices.SortStableFunc(limits, func(a, b gateLimit) int { return cmp.Compare(a.limit, b.limit) })
 	for _, l := range limits {
-		l.to.gate = min(1, l.most)
-		if open > 0 {
-			l.to.gate = min(l.to.gate, max(0, budget)/open)
+		l.to.gate = min(1, l.limit)
+		if unassigned > 0 {
+			l.to.gate = min(l.to.gate, max(0, budget)/unassigned)
 		}
 		budget -= l.to.gate * l.rate
-		open -= l.rate
+		unassigned -= l.rate
 	}
 }
 
-// value is what a call is worth if it stands: less when late.
-func (c *Controller) value(now time.Duration, p *pending) float64 {
+// currentWorth returns the worth of a call if its set-up is sent now. It is lower once the aim can't be met.
+func (c *Controller) currentWorth(now time.Duration, p *pendingCall) float64 {
 	worth := p.class.Worth
-	if now > p.latest(c.exchange(p.Destination)) {
+	if now > p.latestSend(c.exchange(p.Destination)) {
 		worth *= p.class.LateWorth
 	}
 	return worth
 }
 
-// place is where a call stands among those offered, by worth: 0 first, 1 last. It passes a gate above that.
-func (c *Controller) place(p *pending) float64 {
-	i := slices.IndexFunc(c.worth, func(t worthTally) bool { return t.worth == p.worth })
+// worthRank counts a call and returns its rank by worth among the calls offered recently, from 0 (highest worth)
+// to 1. Calls of equal worth get random ranks. The call passes a gate above its rank.
+func (c *Controller) worthRank(p *pendingCall) float64 {
+	i := slices.IndexFunc(c.worthCounters, func(t worthCounter) bool { return t.worth == p.worth })
 	if i < 0 {
-		i = len(c.worth)
-		c.worth = append(c.worth, worthTally{worth: p.worth})
+		i = len(c.worthCounters)
+		c.worthCounters = append(c.worthCounters, worthCounter{worth: p.worth})
 	}
-	c.worth[i].now++
+	c.worthCounters[i].current++
 	above, same, all := 0.0, 0.0, 0.0
-	for _, t := range c.worth {
-		n := t.rate()*period.Seconds() + t.now
+	for _, t := range c.worthCounters {
+		n := t.rate()*ratePeriod.Seconds() + t.current
 		all += n
 		if t.worth > p.worth {
 			above += n
@@ -95,47 +97,48 @@
 	return (above + c.rng.Float64()*same) / all
 }
 
-// Offered takes a new call.
-func (c *Controller) Offered(now time.Duration, k Call) {
-	c.hear(now)
+// Offered processes a new call. A call with an unknown class or an ID that is in use is ignored.
+func (c *Controller) Offered(now time.Duration, call Call) {
+	c.noteEvent(now)
 	c.start()
-	if k.Class < 0 || k.Class >= len(c.set.Classes) || c.calls[k.ID] != nil {
+	if call.Class < 0 || call.Class >= len(c.settings.Classes) || c.calls[call.ID] != nil {
 		return
 	}
-	p := &pending{Call: k, class: c.set.Classes[k.Class], first: now}
+	p := &pendingCall{Call: call, class: c.settings.Classes[call.Class], firstTried: now}
 	p.Width = max(1, p.Width)
-	c.calls[k.ID] = p
-	to := c.exchange(k.Destination)
-	if k.Transit {
-		to.transit.now++
-		if p.from = c.byNumber[k.Via]; p.from != nil {
-			p.from.ours += p.Width
+	c.calls[call.ID] = p
+	to := c.exchange(call.Destination)
+	if call.Transit {
+		to.transit.current++
+		if p.transitFrom = c.exchangeByNumber[call.Via]; p.transitFrom != nil {
+			p.transitFrom.circuitsInUse += p.Width
 		}
 		c.route(now, p)
 		return
 	}
-	c.width += mixShare * (p.Width - c.width)
+	c.meanWidth += callWeight * (p.Width - c.meanWidth)
 	if p.class.Hold > 0 {
-		c.length += time.Duration(mixShare * float64(p.class.Hold-c.length))
+		c.meanHold += time.Duration(callWeight * float64(p.class.Hold-c.meanHold))
 	}
-	// After an own standstill a call is as old as its caller's patience has shrunk, the standstill at most.
+	// After a pause of this process a call has waited already: its age is how much less time it has to expiry than
+	// other calls of its class had, and at most the length of the pause.
 	left := p.Expires - now
-	c.patience[k.Class] = max(c.patience[k.Class], left)
-	p.first -= min(c.gap, c.patience[k.Class]-left)
-	c.recognise(now, p)
-	p.worth = c.value(now, p)
-	c.mean += mixShare * (p.worth - c.mean)
-	c.enter(now, p)
+	c.callerTimeout[call.Class] = max(c.callerTimeout[call.Class], left)
+	p.firstTried -= min(c.eventGap, c.callerTimeout[call.Class]-left)
+	c.matchRedial(now, p)
+	p.worth = c.currentWorth(now, p)
+	c.meanWorth += callWeight * (p.worth - c.meanWorth)
+	c.tryGate(now, p)
 }
 
-// enter puts a call before its destination's gate. One that does not pass tries again next period, while it
-// can stand in time: as a redial would, but without its work and wait.
-func (c *Controller) enter(now time.Duration, p *pending) {
+// tryGate applies the destination's gate to a call. A call that doesn't pass is queued for the next gate update
+// while it can still be set up in time: like a redial, but without the redial's processing and wait.
+func (c *Controller) tryGate(now time.Duration, p *pendingCall) {
 	to := c.exchange(p.Destination)
-	to.offered.now++
-	if p.gated = c.place(p) >= to.gate; !p.gated {
+	to.offered.current++
+	if p.gated = c.worthRank(p) >= to.gate; !p.gated {
 		c.route(now, p)
-	} else if !c.hold(now, p) {
-		c.finish(p, c.set.MaxRetryAfter)
+	} else if !c.enqueue(now, p) {
+		c.finish(p, c.settings.MaxRetryAfter)
 	}
 }
--- a/redials.go
+++ b/redials.go
@@ -1,4 +1,4 @@
-// Redials: calls that come again after they were not served.
+// Redials: matching new calls with earlier ones that were not served.
 
 package brookmux
 
@@ -6,39 +6,39 @@
 	"time"
 )
 
-// caller is what a call and its redials have in common.
-type caller struct {
-	number                uint64
-	class, tenant, wanted int
+// callerKey holds what a call and its redials have in common.
+type callerKey struct {
+	number                     uint64
+	class, tenant, destination int
 }
 
-// recognise finds out whether a call is a redial: its number was called and left unserved, once for each
-// redial.
-func (c *Controller) recognise(now time.Duration, p *pending) {
-	k := caller{p.Number, p.Call.Class, p.Tenant, p.Destination}
-	if tries := c.redials[k]; p.Number != 0 && len(tries) > 0 {
+// matchRedial sets the time of a redial's first try. A call is a redial if an earlier call with the same key was
+// not served; each unserved call matches one redial.
+func (c *Controller) matchRedial(now time.Duration, p *pendingCall) {
+	key := callerKey{p.Number, p.Call.Class, p.Tenant, p.Destination}
+	if tries := c.redials[key]; p.Number != 0 && len(tries) > 0 {
 		if now-tries[0] < p.class.Deadline {
-			p.first = tries[0]
+			p.firstTried = tries[0]
 		}
-		if c.redials[k] = tries[1:]; len(tries) == 1 {
-			delete(c.redials, k)
+		if c.redials[key] = tries[1:]; len(tries) == 1 {
+			delete(c.redials, key)
 		}
 	}
 }
 
-// forgetRedials drops what no caller can come back to.
-func (c *Controller) forgetRedials(now time.Duration) {
-	for k, tries := range c.redials {
-		if now-tries[len(tries)-1] >= c.set.Classes[k.class].Deadline {
-			delete(c.redials, k)
+// expireRedials drops the entries whose callers have stopped redialling.
+func (c *Controller) expireRedials(now time.Duration) {
+	for key, tries := range c.redials {
+		if now-tries[len(tries)-1] >= c.settings.Classes[key.class].Deadline {
+			delete(c.redials, key)
 		}
 	}
 }
 
-// unserved remembers a call that its caller may dial again.
-func (c *Controller) unserved(p *pending) {
-	k := caller{p.Number, p.Call.Class, p.Tenant, p.Destination}
-	if !p.Transit && !p.stands && p.Number != 0 && len(c.redials) < mostRedials {
-		c.redials[k] = append(c.redials[k], p.first)
+// recordUnserved records an unserved call that its caller may redial. Once the table is full, nothing is recorded.
+func (c *Controller) recordUnserved(p *pendingCall) {
+	key := callerKey{p.Number, p.Call.Class, p.Tenant, p.Destination}
+	if !p.Transit && !p.stands && p.Number != 0 && len(c.redials) < maxRedials {
+		c.redials[key] = append(c.redials[key], p.firstTried)
 	}
 }
--- a/routes.go
+++ b/routes.go
@@ -1,4 +1,4 @@
-// Routes: over which exchange an attempt goes, and what waits for a circuit.
+// Routes: route selection for attempts, and the queue of calls that wait for a circuit.
 
 package brookmux
 
@@ -8,137 +8,147 @@
 	"time"
 )
 
-// rest is how long a tandem is left alone for a destination after it turned a call back.
-type rest struct{ until, next time.Duration }
+// backOff is the time during which no call to a destination goes over a tandem that has rejected one. The duration
+// is that of the last back-off.
+type backOff struct{ until, duration time.Duration }
 
-// reserve is how many circuits are kept for direct calls.
+// reserve returns the number of circuits reserved for direct calls. It grows with the share of blocked calls.
 func (e *exchange) reserve() float64 {
-	return max(reserveLeast, math.Floor(e.blocking*reserveMost*max(0, e.size)))
+	return max(minReserve, math.Floor(e.blocking*maxReserveShare*max(0, e.size)))
 }
 
-// room tells whether the group toward an exchange takes a call and leaves so many circuits, or was not told
-// of.
-func (e *exchange) room(width, spare float64) bool { return e.size < 0 || e.free-spare >= width }
+// hasCapacity reports whether the group toward an exchange has circuits for a call of this width with spare
+// circuits left. A group whose size is unknown counts as free.
+func (e *exchange) hasCapacity(width, spare float64) bool { return e.size < 0 || e.free-spare >= width }
 
-// latest is when a set-up to an exchange must be sent to stand within the call's aim; it takes half at most.
-func (p *pending) latest(e *exchange) time.Duration {
-	return p.first + p.class.Aim - min(time.Duration(e.delay*float64(time.Millisecond)), p.class.Aim/2)
+// latestSend returns the latest time to send a set-up to an exchange so that the call stands within its aim. At
+// most half the aim is allowed for the set-up delay.
+func (p *pendingCall) latestSend(e *exchange) time.Duration {
+	return p.firstTried + p.class.Aim - min(time.Duration(e.setUpDelay*float64(time.Millisecond)), p.class.Aim/2)
 }
 
-// expected is how long a set-up is likely to take: one that can't stand before its caller leaves is lost
-// work.
-func (c *Controller) expected(now time.Duration, e *exchange) time.Duration {
-	if wait, ok := c.wait(now, e); ok {
-		return time.Duration((c.least + wait) * float64(time.Millisecond))
+// expectedSetUpTime returns the likely duration of a set-up. A set-up that can't stand before its caller leaves
+// would be wasted work.
+func (c *Controller) expectedSetUpTime(now time.Duration, e *exchange) time.Duration {
+	if excessWait, ok := c.excessWait(now, e); ok {
+		return time.Duration((c.minDelay + excessWait) * float64(time.Millisecond))
 	}
-	return time.Duration((c.least + c.ownWait) * float64(time.Millisecond))
+	return time.Duration((c.minDelay + c.localWait) * float64(time.Millisecond))
 }
 
-// hold keeps a call that found no circuit while it can still stand in time.
-func (c *Controller) hold(now time.Duration, p *pending) bool {
+// enqueue queues a call that has no circuit or did not pass its gate, until it can no longer stand in time. It
+// reports whether the call is queued; calls in transit are not.
+func (c *Controller) enqueue(now time.Duration, p *pendingCall) bool {
 	to := c.exchange(p.Destination)
-	until := min(p.latest(to), p.Expires-leastSetUp)
-	if p.Transit || until <= now || to.at == nil {
+	until := min(p.latestSend(to), p.Expires-minSetUpTime)
+	if p.Transit || until <= now || to.readySwitch == nil {
 		return false
 	}
-	if !p.waits {
-		p.waits = true
+	if !p.queued {
+		p.queued = true
 		i := 0
-		for i < len(c.waiting) && c.waiting[i].worth >= p.worth {
+		for i < len(c.queue) && c.queue[i].worth >= p.worth {
 			i++
 		}
-		c.waiting = slices.Insert(c.waiting, i, p)
+		c.queue = slices.Insert(c.queue, i, p)
 		c.host.SetTimer(until-now, uint64(p.ID)*2+1)
 	}
 	return true
 }
 
-// serve tries the waiting calls again, the worthiest first, once circuits toward an exchange have come free.
-func (c *Controller) serve(now time.Duration, e *exchange) {
-	for _, p := range slices.Clone(c.waiting) {
-		if !p.gated && (p.Destination == e.number && c.pick(now, p) == e || c.fits(now, p, e)) {
+// retryQueued sends queued calls over an exchange whose circuits have changed, those of highest worth first.
+func (c *Controller) retryQueued(now time.Duration, e *exchange) {
+	for _, p := range slices.Clone(c.queue) {
+		if !p.gated && (p.Destination == e.number && c.pickRoute(now, p) == e || c.usableTandem(now, p, e)) {
 			c.send(now, p, e)
 		}
 	}
 }
 
-// leave takes a call out of the waiting line.
-func (c *Controller) leave(p *pending) {
-	if p.waits {
-		p.waits = false
-		c.waiting = slices.DeleteFunc(c.waiting, func(x *pending) bool { return x == p })
+// dequeue removes a call from the queue.
+func (c *Controller) dequeue(p *pendingCall) {
+	if p.queued {
+		p.queued = false
+		c.queue = slices.DeleteFunc(c.queue, func(x *pendingCall) bool { return x == p })
 	}
 }
 
-// route sends a call on, or ends it where no route is left.
-func (c *Controller) route(now time.Duration, p *pending) {
-	from := max(now, p.notUntil)
-	if p.sends >= c.set.MaxAttempts || p.Expires-from < leastSetUp || !c.repeats(from, p, p.ranOn) {
+// route sends a call's next attempt, waits for the end of its release wait, or queues it. It ends the call if no
+// attempt is permitted or there is no route.
+func (c *Controller) route(now time.Duration, p *pendingCall) {
+	from := max(now, p.notBefore)
+	if p.attempts >= c.settings.MaxAttempts || p.Expires-from < minSetUpTime ||
+		!c.mayRepeat(from, p, p.firstRunOn) {
 		c.finish(p, 0)
 	} else if from > now {
 		c.host.SetTimer(from-now, uint64(p.ID)*2+1)
-	} else if e := c.pick(now, p); e != nil {
+	} else if e := c.pickRoute(now, p); e != nil {
 		c.send(now, p, e)
-	} else if !c.hold(now, p) {
+	} else if !c.enqueue(now, p) {
 		c.finish(p, 0)
 	}
 }
 
-// repeats tells whether a switch may get a call again after a set-up that may have run.
-func (c *Controller) repeats(now time.Duration, p *pending, m *Switch) bool {
-	if !p.ran || p.class.Effect == Safe || m == nil || p.ranOn == nil {
-		return !p.ran || p.class.Effect == Safe
+// mayRepeat reports whether a call may be sent to a switch, given the effect of an earlier attempt that may have
+// run.
+func (c *Controller) mayRepeat(now time.Duration, p *pendingCall, sw *Switch) bool {
+	if !p.mayHaveRun || p.class.Effect == Safe || sw == nil || p.firstRunOn == nil {
+		return !p.mayHaveRun || p.class.Effect == Safe
 	}
-	zone, cell := m.Zone == p.ranOn.Zone, m.Number == p.ranOn.Number
-	return p.class.Effect == Keyed && now-p.ranAt < p.class.Window &&
-		(p.class.Group == ScopeAll || p.class.Group == ScopeZone && zone || p.class.Group == ScopeCell && cell)
+	sameZone, sameExchange := sw.Zone == p.firstRunOn.Zone, sw.Number == p.firstRunOn.Number
+	return p.class.Effect == Keyed && now-p.firstRunAt < p.class.Window &&
+		(p.class.Group == ScopeAll || p.class.Group == ScopeZone && sameZone ||
+			p.class.Group == ScopeCell && sameExchange)
 }
 
-// usable tells whether a set-up of a call may go to an exchange now, and can stand before its caller leaves.
-func (c *Controller) usable(now time.Duration, p *pending, e *exchange) bool {
-	return e != c.self && e.at != nil && now >= e.restUntil && c.repeats(now, p, e.at) &&
-		!c.pressed(now, p, e) && now+c.expected(now, e) < p.Expires
+// usable reports whether a call's set-up may be sent to an exchange now and can stand before its caller leaves.
+func (c *Controller) usable(now time.Duration, p *pendingCall, e *exchange) bool {
+	return e != c.local && e.readySwitch != nil && now >= e.backOffUntil && c.mayRepeat(now, p, e.readySwitch) &&
+		!c.queueTooLong(now, p, e) && now+c.expectedSetUpTime(now, e) < p.Expires
 }
 
-// fits tells whether an exchange can be a call's tandem now: warm, rested, with room beyond the reserve.
-func (c *Controller) fits(now time.Duration, p *pending, e *exchange) bool {
+// usableTandem reports whether an exchange can be a call's tandem now: it is warm, not backed off, and has free
+// circuits beyond its reserve. The gates of tandem and destination apply, by a random draw.
+func (c *Controller) usableTandem(now time.Duration, p *pendingCall, e *exchange) bool {
 	to := c.exchange(p.Destination)
-	skilled := !c.set.Pools || len(p.class.Pools) == 0 || slices.Contains(p.class.Pools, e.number)
-	return e != to && !p.Transit && p.tandems < tandemTries && skilled && e.room(p.Width, e.reserve()) &&
-		now >= e.avoid[to.number].until && c.warmth(now, e) >= 1 && now <= p.latest(to) && c.usable(now, p, e) &&
-		(c.set.Pools || c.usable(now, p, to)) && c.rng.Float64() < e.gate*to.gate
+	servesClass := !c.settings.Pools || len(p.class.Pools) == 0 || slices.Contains(p.class.Pools, e.number)
+	return e != to && !p.Transit && p.tandemAttempts < maxTandemAttempts && servesClass &&
+		e.hasCapacity(p.Width, e.reserve()) && now >= e.tandemBackOff[to.number].until &&
+		c.warmShare(now, e) >= 1 && now <= p.latestSend(to) && c.usable(now, p, e) &&
+		(c.settings.Pools || c.usable(now, p, to)) && c.rng.Float64() < e.gate*to.gate
 }
 
-// pick chooses the route: direct first, else a tandem that fits: the one a centre advises, the one over which
-// a call stood last, or a random one by room, since large groups lead to exchanges with many. Circuits gather
-// for a waiting wider call of more worth.
-func (c *Controller) pick(now time.Duration, p *pending) *exchange {
+// pickRoute returns the exchange for a call's next set-up, or nil. The direct route takes precedence, then the
+// advised tandem, then the tandem over which a call to the destination stood last, then a random usable tandem.
+// The random choice is weighted by free circuits, since large groups lead to exchanges with many circuits. A call
+// doesn't take direct circuits that a queued, wider call of higher worth waits for.
+func (c *Controller) pickRoute(now time.Duration, p *pendingCall) *exchange {
 	to := c.exchange(p.Destination)
 	if c.usable(now, p, to) {
 		spare := 0.0
-		if p.Transit || now > p.latest(to) {
+		if p.Transit || now > p.latestSend(to) {
 			spare = to.reserve()
 		}
-		ok := to.room(p.Width, spare) && !slices.ContainsFunc(c.waiting, func(w *pending) bool {
+		available := to.hasCapacity(p.Width, spare) && !slices.ContainsFunc(c.queue, func(w *pendingCall) bool {
 			return !w.gated && w.Destination == p.Destination && w.Width > p.Width && w.worth > p.worth
 		})
-		if !p.Transit && !p.waits {
-			to.blocking *= 1 - blockShare
+		if !p.Transit && !p.queued {
+			to.blocking *= 1 - blockingWeight
 		}
-		if ok {
+		if available {
 			return to
-		} else if !p.Transit && !p.waits {
-			to.blocking += blockShare
+		} else if !p.Transit && !p.queued {
+			to.blocking += blockingWeight
 		}
 	}
-	for _, e := range []*exchange{c.byNumber[p.Via], to.proven} {
-		if e != nil && c.fits(now, p, e) {
+	for _, e := range []*exchange{c.exchangeByNumber[p.Via], to.lastTandem} {
+		if e != nil && c.usableTandem(now, p, e) {
 			return e
 		}
 	}
 	chosen, sum := (*exchange)(nil), 0.0
 	for _, e := range c.exchanges {
-		if weight := max(1, e.free-e.reserve()); c.fits(now, p, e) {
+		if weight := max(1, e.free-e.reserve()); c.usableTandem(now, p, e) {
 			if sum += weight; c.rng.Float64()*sum < weight {
 				chosen = e
 			}
@@ -147,13 +157,14 @@
 	return chosen
 }
 
-// shun leaves the group between two exchanges alone.
-func shun(now time.Duration, a, b *exchange) {
-	r := a.avoid[b.number]
-	r.next = min(max(silentAfter, 2*r.next), pairRestMost)
-	r.until = now + r.next
-	a.avoid[b.number], b.avoid[a.number] = r, r
-	if b.proven == a {
-		b.proven = nil
+// backOffPair backs off the trunk group between two exchanges, in both directions. The back-off doubles each time,
+// up to maxPairBackOff.
+func backOffPair(now time.Duration, a, b *exchange) {
+	r := a.tandemBackOff[b.number]
+	r.duration = min(max(unresponsiveAfter, 2*r.duration), maxPairBackOff)
+	r.until = now + r.duration
+	a.tandemBackOff[b.number], b.tandemBackOff[a.number] = r, r
+	if b.lastTandem == a {
+		b.lastTandem = nil
 	}
 }
