--- a/internal/core/accounting.go
+++ b/internal/core/accounting.go
@@ -9,27 +9,36 @@
 	"brookmux/internal/storm"
 )
 
+// noReport is the report of an outcome in which the core sent no figures.
 var noReport = settings.NoReport()
 
-// Counts are totals since the start.
+// Counts holds event totals since the start of the process.
+//
+// Of the requests, Taken were accepted, Repeated had a key in use, Invalid could not be served by any core, Full met
+// the limit on memory or on open calls, Withdrawn were cancelled by their callers and CallerLost ended with the
+// caller's connection. Stood, Refused and Failed count the final answers. Sent counts attempts, LateAnswers answers for
+// no open attempt, Unresolved calls that ended before their answer was received, Ignored messages that match no
+// attempt, Orphans the ends of calls of an earlier process, HungUp and Cut the standing calls ended by the caller or
+// abnormally. Guards counts rules enforced in place of the decision module.
 type Counts struct {
-	Taken, Repeated, Unfit, Full, Withdrawn, CallerLost          int
+	Taken, Repeated, Invalid, Full, Withdrawn, CallerLost        int
 	Stood, Refused, Failed                                       int
 	Sent, LateAnswers, Unresolved, Ignored, Orphans, HungUp, Cut int
-	Results                                                      [8]int // of attempts that did not stand, by brookmux.Result
+	Results                                                      [8]int // failed attempts by brookmux.Result
 	Guards                                                       int
-	Draining                                                     int    // set-ups turned away because the program is about to end
-	Storm                                                        *Storm // nil where storms are not seen
+	Draining                                                     int    // set-ups rejected during shutdown
+	Storm                                                        *Storm // nil where storm detection is off
 }
 
-// Storm is what there is to tell of storms.
+// Storm holds the totals of storm detection and the current state of its scopes.
 type Storm struct {
 	storm.Counts
-	Scopes []storm.Status // the whole, the classes and the exchanges
+	Scopes []storm.Status // the whole controller, then each class, then each exchange
 }
 
-// outcome counts the end of an attempt.
-func (n *Counts) outcome(r brookmux.Result, stood bool) {
+// addOutcome counts the end of an attempt: an unsuccessful one by its result, a standing call that did not end normally
+// as cut.
+func (n *Counts) addOutcome(r brookmux.Result, stood bool) {
 	switch {
 	case !stood && r >= 0 && int(r) < len(n.Results):
 		n.Results[r]++
@@ -38,77 +47,80 @@
 	}
 }
 
-// answer books that a call is owed nothing more.
-func (e *Engine) answer(c *call) {
+// markAnswered records that a call has its final answer: it stops the deadline timer, frees the memory of the request
+// and counts a call that stands. Further invocations for the same call do nothing.
+func (e *Engine) markAnswered(c *call) {
 	if !c.answered {
 		c.answered = true
-		c.deadline.stop()
-		e.open--
-		e.held.Add(-c.size)
+		c.deadlineTimer.stop()
+		e.openCalls--
+		e.heldBytes.Add(-c.size)
 		c.Description = nil
 		e.stormAnswered(c)
-		if c.out != nil && c.out.stands {
+		if c.current != nil && c.current.stands {
 			e.counts.Stood++
 		}
 	}
 }
 
-// close takes a call off the table and remembers its key.
+// close deletes a call from the table and remembers its key as recently ended.
 func (e *Engine) close(c *call) {
-	e.answer(c)
+	e.markAnswered(c)
 	delete(e.calls, c.Key)
 	delete(e.byID, c.id)
-	e.remember(c.Key)
+	e.rememberEnded(c.Key)
 	e.checkDrained()
 }
 
-// remember keeps the key of a call that is over, so that what still arrives for it is known to be late.
-func (e *Engine) remember(key string) {
-	if len(e.recent[0]) >= mostRecent { // sooner than its time: a day has a bound on memory, not on calls
-		e.recent[0], e.recent[1] = map[string]struct{}{}, e.recent[0]
+// rememberEnded keeps the key of a call that is over, so that a message that still arrives for it is recognised as
+// late.
+func (e *Engine) rememberEnded(key string) {
+	if len(e.endedKeys[0]) >= maxEndedKeys { // rotate before endedRetention: memory is bounded, the call rate is not
+		e.endedKeys[0], e.endedKeys[1] = map[string]struct{}{}, e.endedKeys[0]
 	}
-	e.recent[0][key] = struct{}{}
+	e.endedKeys[0][key] = struct{}{}
 }
 
-// ended tells whether a call was over not long ago.
-func (e *Engine) ended(key string) bool {
-	_, now := e.recent[0][key]
-	_, before := e.recent[1][key]
-	return now || before
+// recentlyEnded reports whether a call with this key ended within the retention period.
+func (e *Engine) recentlyEnded(key string) bool {
+	_, current := e.endedKeys[0][key]
+	_, previous := e.endedKeys[1][key]
+	return current || previous
 }
 
-// forget drops what was remembered longest.
-func (e *Engine) forget() {
-	e.recent[0], e.recent[1] = map[string]struct{}{}, e.recent[0]
-	e.in(recentSpan, e.forget)
+// rotateEnded drops the older generation of ended keys and schedules the next rotation.
+func (e *Engine) rotateEnded() {
+	e.endedKeys[0], e.endedKeys[1] = map[string]struct{}{}, e.endedKeys[0]
+	e.schedule(endedRetention, e.rotateEnded)
 }
 
-// guard logs and counts that the core kept a rule in the module's place.
-func (e *Engine) guard(rule string, c *call) {
+// recordGuard logs and counts that the core enforced a rule that the decision module did not observe.
+func (e *Engine) recordGuard(rule string, c *call) {
 	e.counts.Guards++
 	e.Config.Log.Warn("guard", "rule", rule, "call", c.Key, "sends", c.sends,
-		"out", c.out != nil, "last", c.last, "age", e.now-c.at, "left", c.Left, "transit", c.Transit)
+		"out", c.current != nil, "last", c.lastResult, "age", e.now-c.at, "left", c.Left, "transit", c.Transit)
 }
 
-// report writes the totals to the log now and then.
-func (e *Engine) report() {
+// reportCounts writes the totals to the log, offers them to the Reports channel and schedules the next report.
+func (e *Engine) reportCounts() {
 	e.logCounts()
 	if e.Storm != nil && e.Reports != nil {
 		e.counts.Storm = &Storm{e.Storm.Counts(), e.Storm.Statuses(e.now)}
 	}
 	select {
-	case e.Reports <- e.counts: // a nil channel never has room
+	case e.Reports <- e.counts: // never ready on a nil channel
 	default:
 	}
-	e.reporter = e.in(e.every, e.report)
+	e.reportTimer = e.schedule(e.reportInterval, e.reportCounts)
 }
 
 // logCounts writes the totals to the log.
 func (e *Engine) logCounts() {
 	n := e.counts
-	e.Config.Log.Info("counts", "taken", n.Taken, "open", e.open, "table", len(e.calls), "stood", n.Stood,
+	e.Config.Log.Info("counts", "taken", n.Taken, "open", e.openCalls, "table", len(e.calls), "stood", n.Stood,
 		"refused", n.Refused, "failed", n.Failed, "withdrawn", n.Withdrawn, "callers_lost", n.CallerLost,
-		"repeated", n.Repeated, "unfit", n.Unfit, "full", n.Full, "sent", n.Sent, "late_answers", n.LateAnswers, "unresolved", n.Unresolved, "ignored", n.Ignored, "orphaned_calls", n.Orphans,
+		"repeated", n.Repeated, "unfit", n.Invalid, "full", n.Full, "sent", n.Sent, "late_answers", n.LateAnswers,
+		"unresolved", n.Unresolved, "ignored", n.Ignored, "orphaned_calls", n.Orphans,
 		"cut", n.Cut, "hung_up", n.HungUp, "guards", n.Guards, slog.Group("results",
 			"error", n.Results[brookmux.ResultError], "full", n.Results[brookmux.ResultFull],
 			"timeout", n.Results[brookmux.ResultTimeout], "connect", n.Results[brookmux.ResultConnectFailed],
@@ -120,11 +132,11 @@
 	}
 }
 
-// debug logs what came of an attempt.
-func (e *Engine) debug(what string, c *call, l *attempt, r brookmux.Report, more ...any) {
+// logAttempt logs an event of an attempt at debug level.
+func (e *Engine) logAttempt(event string, c *call, a *attempt, r brookmux.Report, more ...any) {
 	if !e.Config.Log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
-	e.Config.Log.Debug(what, append([]any{"call", c.Key, "class", c.Class, "to", l.to, "dest", c.Destination,
-		"transit", c.Transit, "took", e.now - l.at, "age", e.now - c.at, "free", r.Free, "wait", r.Wait}, more...)...)
+	e.Config.Log.Debug(event, append([]any{"call", c.Key, "class", c.Class, "to", a.to, "dest", c.Destination,
+		"transit", c.Transit, "took", e.now - a.at, "age", e.now - c.at, "free", r.Free, "wait", r.Wait}, more...)...)
 }
--- a/internal/core/cold.go
+++ b/internal/core/cold.go
@@ -7,96 +7,99 @@
 	"brookmux/internal/storm"
 )
 
-// The guard on cold cores counts set-ups in slots: a short heavy burst right after a start can push a core
-// over before a rate shows it.
+// The limit on set-ups to cold cores counts them in short slots: a heavy burst right after a start can overload a core
+// before an averaged rate shows it.
 const (
-	coldSlot   = 250 * time.Millisecond
-	coldWindow = 8   // slots in the window of the rule, 2 s
-	usualSlots = 40  // slots that the usual rate is taken over, 10 s
-	coldLeast  = 8   // set-ups that a window may always hold
-	coldBudget = 0.8 // of the multiple: repeats and refusals are work too
-	slotSpan   = usualSlots + 1
+	coldSlot        = 250 * time.Millisecond
+	coldWindow      = 8                 // slots in the window of the limit, 2 s
+	baselineSlots   = 40                // slots over which the baseline rate is averaged, 10 s
+	coldMinSetUps   = 8                 // set-ups always allowed in a window
+	coldBudgetShare = 0.8               // share of FallMultiple in use: repeats and refusals load the core too
+	slotCount       = baselineSlots + 1 // the past slots and the current one
 )
 
-// load counts the set-ups sent to an exchange, slot by slot. It outlives the exchange's cores: what the old
-// one carried is the guide to what the new one will.
-type load struct {
-	slots [slotSpan]int
-	last  int64   // the slot counted last
-	first int64   // the first slot counted
-	usual float64 // set-ups a slot that it carried while its core was warm
+// setUpCounter counts the set-ups sent to an exchange in a ring of time slots. It is kept by exchange and not by core:
+// the rate that the previous core carried is the estimate for its replacement.
+type setUpCounter struct {
+	slots     [slotCount]int
+	lastSlot  int64   // the current slot
+	firstSlot int64   // the first slot counted
+	baseline  float64 // highest mean of set-ups per slot seen while the core was warm; 0 if none yet
 }
 
-// roll moves on to a slot.
-func (l *load) roll(slot int64) {
-	if l.first == 0 {
-		l.first, l.last = slot, slot
+// advance makes slot the current one and clears the slots that were skipped.
+func (c *setUpCounter) advance(slot int64) {
+	if c.firstSlot == 0 {
+		c.firstSlot, c.lastSlot = slot, slot
 	}
-	for ; l.last < slot; l.last++ {
-		l.slots[(l.last+1)%slotSpan] = 0
+	for ; c.lastSlot < slot; c.lastSlot++ {
+		c.slots[(c.lastSlot+1)%slotCount] = 0
 	}
 }
 
-// recent is how many set-ups the last so many slots hold, the present one too.
-func (l *load) recent(n int64) int {
+// countLast returns the number of set-ups in the last n slots, including the current one.
+func (c *setUpCounter) countLast(n int64) int {
 	sum := 0
 	for i := range n {
-		sum += l.slots[(l.last-i+slotSpan)%slotSpan]
+		sum += c.slots[(c.lastSlot-i+slotCount)%slotCount]
 	}
 	return sum
 }
 
-// warmth is the share of its work that a core can do by now at least, as the settings tell it.
-func (e *Engine) warmth(s brookmux.Switch) float64 {
-	within := e.Settings.Module.WarmWithin
+// warmShare returns the minimum share of its full load that a core can carry now. It rises linearly from ColdFrom to 1
+// within WarmWithin of the core's start.
+func (e *Engine) warmShare(s brookmux.Switch) float64 {
+	warmUp := e.Settings.Module.WarmWithin
 	age := e.now - s.Since
-	if s.Since <= 0 || within <= 0 || age >= within {
+	if s.Since <= 0 || warmUp <= 0 || age >= warmUp {
 		return 1
 	}
-	from := e.Settings.Module.ColdFrom
-	return from + (1-from)*float64(max(0, age))/float64(within)
+	coldShare := e.Settings.Module.ColdFrom
+	return coldShare + (1-coldShare)*float64(max(0, age))/float64(warmUp)
 }
 
-// SetPlanned takes what exchanges are planned to bear, in set-ups a second of all controllers, by number. It counts
-// for the guard on cold cores where nothing has been seen yet.
+// SetPlanned sets the planned load of exchanges, by number, in set-ups a second from all controllers together. The
+// limit on cold cores uses it for an exchange whose load has not been observed yet. The map belongs to the engine
+// afterwards.
 func (e *Engine) SetPlanned(planned map[int]float64) { e.post(func() { e.planned = planned }) }
 
-// usual is how many set-ups a slot an exchange carries on usual days: as it was seen, or else this controller's part
-// of what it is planned to bear, or else as its circuits tell.
-func (e *Engine) usual(s brookmux.Switch, l *load) float64 {
-	if planned := e.planned[s.Number]; l.usual == 0 && planned > 0 {
+// baseline returns the normal number of set-ups per slot to an exchange: the observed rate, else this controller's part
+// of the planned load, else, with storm.Config.Cold, an estimate from the number of circuits.
+func (e *Engine) baseline(s brookmux.Switch, counter *setUpCounter) float64 {
+	if planned := e.planned[s.Number]; counter.baseline == 0 && planned > 0 {
 		return planned / float64(max(1, e.Settings.Module.Instances)) * coldSlot.Seconds()
 	}
-	if l.usual > 0 || e.Storm == nil || !e.Storm.Cold {
-		return l.usual
+	if counter.baseline > 0 || e.Storm == nil || !e.Storm.Cold {
+		return counter.baseline
 	}
 	hold := time.Duration(0)
 	for _, k := range e.Settings.Module.Classes {
 		hold = max(hold, k.Hold)
 	}
-	return storm.ColdSeed(e.sizes[s.Number], hold) * coldSlot.Seconds()
+	return storm.ColdSeed(e.groupSizes[s.Number], hold) * coldSlot.Seconds()
 }
 
-// tooCold tells whether one more set-up to a core would be more than this controller's part of what may reach
-// it while it is cold, and counts the set-up if not.
-func (e *Engine) tooCold(to brookmux.SwitchID) bool {
+// exceedsColdLimit reports whether one more set-up to a core would exceed this controller's part of the load allowed
+// for a cold core. If not, it counts the set-up.
+func (e *Engine) exceedsColdLimit(to brookmux.SwitchID) bool {
 	s := e.switches[to]
-	l := e.loads[s.Number]
-	if l == nil {
-		l = &load{}
-		e.loads[s.Number] = l
+	counter := e.setUpCounters[s.Number]
+	if counter == nil {
+		counter = &setUpCounter{}
+		e.setUpCounters[s.Number] = counter
 	}
-	l.roll(int64(e.now / coldSlot))
-	if warm := e.warmth(s); warm < 1 && e.Settings.Module.FallMultiple > 0 {
-		most := max(coldLeast, e.Settings.Module.FallMultiple*coldBudget*warm*e.usual(s, l)*coldWindow)
-		if float64(l.recent(coldWindow)) >= most {
+	counter.advance(int64(e.now / coldSlot))
+	if share := e.warmShare(s); share < 1 && e.Settings.Module.FallMultiple > 0 {
+		limit := max(coldMinSetUps, e.Settings.Module.FallMultiple*coldBudgetShare*share*
+			e.baseline(s, counter)*coldWindow)
+		if float64(counter.countLast(coldWindow)) >= limit {
 			return true
 		}
-	} else if seen := min(usualSlots, l.last-l.first+1); seen >= coldWindow {
-		// The most that the exchange has carried for that long: a rate taken while gates were low would hold
-		// back what the module may well send.
-		l.usual = max(l.usual, float64(l.recent(seen))/float64(seen))
+	} else if observed := min(baselineSlots, counter.lastSlot-counter.firstSlot+1); observed >= coldWindow {
+		// Keep the highest rate that the exchange has carried over the observed slots: a rate measured while the gates
+		// admitted little would hold back set-ups that the module may send.
+		counter.baseline = max(counter.baseline, float64(counter.countLast(observed))/float64(observed))
 	}
-	l.slots[l.last%slotSpan]++
+	counter.slots[counter.lastSlot%slotCount]++
 	return false
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,9 +1,9 @@
-// Package core carries requests through the border controller. It deals in requests, attempts and outcomes
-// and knows no wire: fronts hand it requests, trunks carry its attempts, and the decision module chooses.
+// Package core processes call requests in the border controller, independently of any wire protocol. Front ends submit
+// requests, trunks carry the attempts to the cores, and the decision module selects the routes.
 //
-// A request passes the stages take in, admit, route, send, relay and book, each in a file of its own. One
-// goroutine owns the module and the table of calls; everything reaches it through one bounded queue, and it
-// never waits for a socket.
+// A request passes the stages intake, admission, routing, sending, relaying of the outcome and accounting, each in its
+// own file. One goroutine, the owner, has exclusive access to the module and the call table. It receives all events
+// through one bounded queue and never blocks on a socket.
 package core
 
 import (
@@ -12,10 +12,10 @@
 	"brookmux"
 )
 
-// Cause is a Q.850 cause, the vocabulary that all fronts and trunks share for the end of a call.
+// Cause is a Q.850 cause value. All front ends and trunks use it to say why a call ended.
 type Cause int
 
-// The causes that the core itself uses.
+// The causes that this package sets itself.
 const (
 	NormalClearing   Cause = 16
 	TemporaryFailure Cause = 41
@@ -24,104 +24,106 @@
 	TimerExpiry      Cause = 102
 )
 
-// Request is a set-up that a front has taken.
+// Request is a set-up received by a front end.
 type Request struct {
-	Key         string        // names the call on every wire, passed on unchanged
+	Key         string        // identifies the call in every protocol, passed on unchanged
 	Class       string        // as named in the settings
-	Number      string        // the number called, hex digits, passed on unchanged
-	Left        time.Duration // how long the caller waits from now on, 0 for as long as its class allows
-	Destination int
-	Width       float64
-	Via         int // where a call in transit comes from, or the advised tandem, or -1
+	Number      string        // the called number, hex digits, passed on unchanged
+	Left        time.Duration // time the caller still waits, 0 for the deadline of its class
+	Destination int           // number of the exchange called
+	Width       float64       // circuits that the call takes
+	Via         int           // in transit: the exchange the call comes from; else the advised tandem, or -1
 	Transit     bool
-	Description []byte
+	Description []byte // session description, passed on unchanged
 	Caller      Caller
-	Group       string // the caller group it came from: an address or a point code, empty if not known
-	Resent      bool   // its caller says that it asked before
+	Group       string // caller group: an address or a point code, empty if unknown
+	Resent      bool   // the caller states that this is a repeated request
 }
 
-// Verdict is a final answer other than that the call stands.
+// Verdict is a negative final answer.
 type Verdict struct {
-	Failed bool          // given up, and trying again may do harm; else turned away
-	Bad    bool          // the request is at fault itself: no other answer would come to it later
-	Wait   time.Duration // how long the caller should stay away, 0 for no advice
+	Failed bool          // abandoned, and trying again may do harm; false if rejected
+	Bad    bool          // the request itself is invalid: trying again can't succeed
+	Wait   time.Duration // retry advice: how long the caller should wait, 0 for none
 	Cause  Cause
 	Level  int    // automatic congestion level of the destination (Q.763, 3.4), 0 for none
-	Why    string // for the log and for people who read traces
+	Why    string // explanation for logs and traces; sent to the caller where Bad is set
 }
 
-// Caller is the party that asked for a call, as its front sees it. The methods must not block and must not
-// call back into the core.
+// Caller is the party that requested a call, as its front end sees it. The engine calls the methods from its own
+// goroutine: they must not block and must not call back into the engine.
 type Caller interface {
-	// Stands is the final answer that the call stands, with the description that a core gave for it.
+	// Stands is the positive final answer: the call stands. It carries the session description sent by the core.
 	Stands(key string, description []byte)
-	// Refuse is the final answer that it does not.
+	// Refuse is the negative final answer.
 	Refuse(key string, v Verdict)
-	// Release tells that a call that stood is over.
+	// Release reports the end of a call that stood.
 	Release(key string, cause Cause)
 }
 
-// Attempt is a set-up sent to a core.
+// Attempt is a set-up to be sent to a core.
 type Attempt struct {
 	Key         string
 	Class       string
 	Number      string
-	Left        time.Duration // how long its outcome will be waited for
-	Width       float64       // circuits that it takes
+	Left        time.Duration // how long the engine waits for the outcome
+	Width       float64       // circuits that the call takes
 	Description []byte
 }
 
-// Trunks carry attempts to the cores. The methods must not block and must not call back into the core.
+// Trunks carry attempts to the cores. The engine calls the methods from its own goroutine: they must not block and must
+// not call back into the engine.
 type Trunks interface {
-	// SetUp sends an attempt; what becomes of it arrives as Answered, Ended or Lost.
+	// SetUp sends an attempt. Its outcome is reported through Events as Answered, Ended or Lost.
 	SetUp(to brookmux.SwitchID, a Attempt)
-	// Release gives a set-up up, or ends a call that stands.
+	// Release cancels an open set-up or ends a call that stands.
 	Release(to brookmux.SwitchID, key string, cause Cause)
-	// ReleaseAnywhere ends a call whose core is not known, as after a restart.
+	// ReleaseAnywhere ends a call whose core is unknown, for example after a restart, by a release to every core.
 	ReleaseAnywhere(key string, cause Cause)
 }
 
-// Outcome is how a core ended an attempt or a call.
+// Outcome describes how a core ended an attempt or a call.
 type Outcome struct {
 	Result brookmux.Result
 	Reason brookmux.Reason
 	Report brookmux.Report
 	Cause  Cause
-	Level  int // automatic congestion level that the core told (Q.763, 3.4), 0 for none
-	// Elsewhere tells that it came on another connection than the one on which a set-up of the call is open: it
-	// is not that set-up's end.
+	Level  int // automatic congestion level reported by the core (Q.763, 3.4), 0 for none
+	// Elsewhere is set if the outcome arrived on another connection than the one on which a set-up of the call is
+	// open: it is not the end of that set-up.
 	Elsewhere bool
 }
 
-// Condition is how an exchange is, for peers that are told of it.
+// Condition is the state of an exchange as published to peers.
 type Condition struct {
-	Available bool // it has a core that takes set-ups
-	Level     int  // of congestion: 0 for none, 1 or 2
+	Available bool // it has a core that accepts set-ups
+	Level     int  // congestion level: 0 for none, 1 or 2
 }
 
-// Loss is what became of the attempts or calls that a core lost.
+// Loss describes which attempts or calls at a core are lost, and with which outcome.
 type Loss struct {
 	Cut     bool          // calls that stand are lost too
-	Unsure  bool          // the core may still have them: it is told to let go
-	Before  time.Duration // those sent before this time only, on the engine's clock; 0 or less for all
+	Unsure  bool          // the core may still have them, so it is sent releases
+	Before  time.Duration // only those sent before this time on the engine's clock; 0 or less for all
 	Outcome Outcome
 }
 
-// Events take what is heard of the cores. *Engine is one.
+// Events receives the messages and the failures of the cores. *Engine implements it.
 type Events interface {
-	// Answered tells that a call stands, with the core's description.
+	// Answered reports that a call stands, with the session description sent by the core.
 	Answered(from brookmux.SwitchID, key string, description []byte, r brookmux.Report)
-	// Ended tells how a core ended an attempt, or a call that stood.
+	// Ended reports how a core ended an attempt or a call that stood.
 	Ended(from brookmux.SwitchID, key string, o Outcome)
-	// Lost tells that what was open at a core is lost; see Engine.Lost.
+	// Lost reports that attempts or calls at a core are lost; see Engine.Lost.
 	Lost(at brookmux.SwitchID, keys []string, l Loss)
-	// Moved tells that what is open under one id is at the core of another: it had taken the address before it was
-	// listed.
+	// Moved reports that what is open under one core id belongs to the core with another id, which took over the
+	// address before it was listed.
 	Moved(from, to brookmux.SwitchID)
-	// Reported hands on a core's report that belongs to no call.
+	// Reported passes on a report of a core that belongs to no call. unasked is set if the core sent it without a
+	// request.
 	Reported(from brookmux.SwitchID, r brookmux.Report, unasked bool)
-	// Congested tells the congestion level that a core has told, 0 for none.
+	// Congested passes on the congestion level reported by a core, 0 for none.
 	Congested(from brookmux.SwitchID, level int)
-	// Ignored tells that a core sent something for a call that belongs to nothing.
+	// Ignored reports a message for a call that matches no open attempt. what describes it for the log.
 	Ignored(from brookmux.SwitchID, key, what string)
 }
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -17,103 +17,108 @@
 )
 
 const (
-	queueLength   = 1024
-	answerEarly   = 20 * time.Millisecond  // a final answer leaves this long before the caller's own deadline
-	guardLate     = 10 * time.Millisecond  // the guard on the deadline waits for the module this long
-	releaseMargin = 20 * time.Millisecond  // on the wait after a timeout, reset or cancel: peers may read late
-	recentSpan    = 30 * time.Second       // ended calls are remembered for one to two of these
-	mostRecent    = 16384                  // and so many in each
-	mostMoved     = 256                    // former ids of cores that are remembered
-	drainAdmit    = 650 * time.Millisecond // after SIGTERM, calls are served for so long: callers go on for up to 600 ms
-	drainMin      = 800 * time.Millisecond // requests go on coming for up to 600 ms after SIGTERM, and are read late
-	drainMax      = 5 * time.Minute        // calls that stand are waited for no longer than this
-	countsEvery   = 10 * time.Second
+	queueLength        = 1024
+	answerMargin       = 20 * time.Millisecond // a final answer is sent this long before the caller's deadline
+	deadlineGuardDelay = 10 * time.Millisecond // time left to the module after that before the engine answers itself
+	releaseMargin      = 20 * time.Millisecond // added to the release wait, since peers may read a message late
+	endedRetention     = 30 * time.Second      // keys of ended calls are kept for one to two of these periods
+	maxEndedKeys       = 16384                 // per period
+	maxMovedIDs        = 256                   // former ids of cores
+
+	// Callers send requests for up to 600 ms after SIGTERM, and the last ones may be read late: set-ups are accepted
+	// for drainAcceptance, and the drain lasts at least drainMin.
+	drainAcceptance = 650 * time.Millisecond
+	drainMin        = 800 * time.Millisecond
+	drainMax        = 5 * time.Minute // longest wait for calls that stand
+	countsInterval  = 10 * time.Second
 )
 
-// Config is what an Engine is made of.
+// Config holds the settings and the dependencies of an Engine.
 type Config struct {
 	Settings      settings.Settings
 	Seed          uint64
 	Trunks        Trunks
 	Log           *slog.Logger
-	Origin        time.Time                     // the clock's zero; before any time that is handed in
-	ReleaseOrphan func(key string, cause Cause) // releases a call that this process did not set up
-	Took          func()                        // called at the first request, may be nil
-	Reports       chan<- Counts                 // gets the totals now and then if it has room, may be nil
+	Origin        time.Time                     // zero of the engine's clock; before any time passed to the engine
+	ReleaseOrphan func(key string, cause Cause) // releases a call of an earlier process to its caller, may be nil
+	Took          func()                        // called at the first accepted request, may be nil
+	Reports       chan<- Counts                 // receives the totals periodically unless full; may be nil
 
-	Storm     *storm.Storm         // sees storms and damps them, nil for none
-	Changed   func(storm.Change)   // told of each change of a storm's state, may be nil
-	Condition func(int, Condition) // told how an exchange is when that changes, may be nil; it must not block
+	Storm     *storm.Storm         // detects and damps retry storms, nil for none
+	Changed   func(storm.Change)   // called at each change of a storm state, may be nil
+	Condition func(int, Condition) // called when the condition of an exchange changes, may be nil; must not block
 
-	MostBytes int64 // of requests that may be held at a time, 0 for any number
+	MostBytes int64 // limit on the memory of requests that await a final answer, 0 for none
 
-	// Clock, where it is not nil, takes the place of the wall clock, and Step that of Run: everything then happens
-	// in one goroutine, at times that are the clock's.
+	// Clock, if not nil, replaces the wall clock, and Step must be called instead of Run. All events are then handled
+	// in the calling goroutine, at the times of this clock.
 	Clock func() time.Duration
 }
 
-// Engine owns the module and the table of calls. Use New, then Run.
+// Engine owns the decision module and the call table. Create it with New and start it with Run. Its exported methods
+// may be called from any goroutine unless Config.Clock is set.
 type Engine struct {
 	Config
-	ctl     *brookmux.Controller
-	queue   chan func()
-	stepped []func()      // in place of queue where there is a Clock
-	done    chan struct{} // closed when Run returns
-	timers  timers
-	wake    *time.Timer
-	now     time.Duration // of the event being handled
-	classes map[string]int
+	ctl       *brookmux.Controller
+	queue     chan func()
+	stepQueue []func()      // replaces queue where Clock is set
+	done      chan struct{} // closed when Run returns
+	timers    timers
+	wakeTimer *time.Timer
+	now       time.Duration  // of the event being handled
+	classes   map[string]int // index by name
 
 	calls            map[string]*call
 	byID             map[brookmux.CallID]*call
 	lastID           brookmux.CallID
 	switches         map[brookmux.SwitchID]brookmux.Switch
-	recent           [2]map[string]struct{}
-	moved            map[brookmux.SwitchID]brookmux.SwitchID // former ids of cores
-	loads            map[int]*load                           // by exchange
-	numbers          map[int]bool                            // of the exchanges that were ever listed
-	told             map[int]Condition                       // how exchanges are, as last told
-	sizes            map[int]float64                         // of the groups toward them, as last told
-	planned          map[int]float64                         // set-ups a second that exchanges are planned to bear, by number
-	open             int                                     // calls that are owed an answer
-	mostBytes        atomic.Int64                            // of them, 0 for any number
-	held             atomic.Int64                            // bytes of the requests that are queued or owed an answer
-	orphanReleasedAt time.Duration                           // when the last hang-up of an unknown call was paid for
-	after            []func()
+	endedKeys        [2]map[string]struct{}
+	movedIDs         map[brookmux.SwitchID]brookmux.SwitchID // current id by former id, of cores
+	setUpCounters    map[int]*setUpCounter                   // by exchange
+	knownExchanges   map[int]bool                            // every exchange that was ever listed
+	published        map[int]Condition                       // of exchanges, as last published
+	groupSizes       map[int]float64                         // circuits toward exchanges, as last reported
+	planned          map[int]float64                         // planned set-ups a second, by exchange
+	openCalls        int                                     // calls that await a final answer
+	maxBytes         atomic.Int64                            // limit on heldBytes, 0 for none
+	heldBytes        atomic.Int64                            // memory of requests that are queued or await a final answer
+	orphanReleasedAt time.Duration                           // rate limit on orphan releases: virtual time of the last one
+	deferred         []func()                                // run after the module has returned
 	counts           Counts
 	drained          chan struct{}
-	drainFrom        time.Duration // when Drain was called, 0 if it was not
-	started          bool
-	most             int           // calls open at a time, 0 for any number
-	every            time.Duration // between two reports of the totals
-	reporter         *timer
+	drainStart       time.Duration // when Drain was called, 0 if not
+	firstRequestSeen bool
+	maxOpen          int           // limit on openCalls, 0 for none
+	reportInterval   time.Duration // between two reports of the totals
+	reportTimer      *timer
 }
 
-// New returns an Engine, or an error that names the setting it can't serve.
+// New returns an Engine, or an error that names the invalid setting.
 func New(c Config) (*Engine, error) {
-	e := &Engine{Config: c, queue: make(chan func(), queueLength), done: make(chan struct{}), wake: time.NewTimer(time.Hour),
-		most: c.Settings.MostHeld, every: countsEvery,
+	e := &Engine{Config: c, queue: make(chan func(), queueLength), done: make(chan struct{}),
+		wakeTimer: time.NewTimer(time.Hour), maxOpen: c.Settings.MostHeld, reportInterval: countsInterval,
 		classes: map[string]int{}, calls: map[string]*call{}, byID: map[brookmux.CallID]*call{},
-		switches: map[brookmux.SwitchID]brookmux.Switch{}, drained: make(chan struct{}), loads: map[int]*load{},
-		numbers: map[int]bool{}, moved: map[brookmux.SwitchID]brookmux.SwitchID{}, sizes: map[int]float64{}, told: map[int]Condition{}}
-	e.recent = [2]map[string]struct{}{{}, {}}
-	e.mostBytes.Store(c.MostBytes)
+		switches: map[brookmux.SwitchID]brookmux.Switch{}, drained: make(chan struct{}),
+		setUpCounters: map[int]*setUpCounter{}, knownExchanges: map[int]bool{},
+		movedIDs: map[brookmux.SwitchID]brookmux.SwitchID{}, groupSizes: map[int]float64{}, published: map[int]Condition{}}
+	e.endedKeys = [2]map[string]struct{}{{}, {}}
+	e.maxBytes.Store(c.MostBytes)
 	var err error
-	if e.ctl, err = brookmux.New(withMargin(c.Settings.Module), c.Seed, host{e}); err != nil {
+	if e.ctl, err = brookmux.New(withReleaseMargin(c.Settings.Module), c.Seed, host{e}); err != nil {
 		return nil, fmt.Errorf("core: %w", err)
 	}
-	e.name()
+	e.indexClasses()
 	return e, nil
 }
 
-// withMargin is what the module is told: it waits a little longer than it has to.
-func withMargin(m brookmux.Settings) brookmux.Settings {
+// withReleaseMargin returns the settings for the module, with the release wait extended by releaseMargin.
+func withReleaseMargin(m brookmux.Settings) brookmux.Settings {
 	m.ReleaseWait += releaseMargin
 	return m
 }
 
-// name takes the names of the classes.
-func (e *Engine) name() {
+// indexClasses rebuilds the index of class names from the settings.
+func (e *Engine) indexClasses() {
 	clear(e.classes)
 	for i, name := range e.Settings.ClassNames {
 		if name != "" {
@@ -122,41 +127,41 @@
 	}
 }
 
-// Configure puts other settings in force, all of them between two events, or returns an error and changes
-// nothing. Calls under way go on with what they were taken with.
-func (e *Engine) Configure(s settings.Settings, mostBytes int64) error {
+// Configure applies new settings atomically between two events, or returns an error and changes nothing. Open calls
+// keep the deadlines they were accepted with. It blocks until the owner has applied the settings.
+func (e *Engine) Configure(s settings.Settings, maxBytes int64) error {
 	done := make(chan error, 1)
-	e.ConfigureLater(s, mostBytes, func(err error) { done <- err })
+	e.ConfigureLater(s, maxBytes, func(err error) { done <- err })
 	select {
 	case err := <-done:
 		return err
 	case <-e.done:
-		return errors.New("core: has ended")
+		return errors.New("core: engine has stopped")
 	}
 }
 
-// ConfigureLater is Configure without the wait: then is told, in the owner's goroutine.
-func (e *Engine) ConfigureLater(s settings.Settings, mostBytes int64, then func(error)) {
+// ConfigureLater is Configure without the wait. done receives the result in the owner's goroutine.
+func (e *Engine) ConfigureLater(s settings.Settings, maxBytes int64, done func(error)) {
 	e.post(func() {
 		next := s.After(e.Settings)
-		err := e.ctl.Configure(withMargin(next.Module))
+		err := e.ctl.Configure(withReleaseMargin(next.Module))
 		if err == nil && e.Storm != nil {
 			err = e.Storm.Configure(StormConfig(e.Storm.Config, next))
 		}
 		if err == nil {
 			e.Settings = next
-			e.name()
-			e.mostBytes.Store(mostBytes)
+			e.indexClasses()
+			e.maxBytes.Store(maxBytes)
 		}
-		then(err)
+		done(err)
 	})
 }
 
-// post hands an event to the owner; readers wait here while the queue is full. After the owner has ended
-// nothing is taken any more, and nobody waits.
+// post queues an event for the owner. It blocks while the queue is full. After Run has returned, events are dropped
+// without blocking.
 func (e *Engine) post(f func()) {
 	if e.Clock != nil {
-		e.stepped = append(e.stepped, f)
+		e.stepQueue = append(e.stepQueue, f)
 		return
 	}
 	select {
@@ -165,7 +170,7 @@
 	}
 }
 
-// Run handles events until the context ends. A panic is returned as an error with its stack.
+// Run handles events until the context is cancelled. A panic is returned as an error with its stack trace.
 func (e *Engine) Run(ctx context.Context) (err error) {
 	defer close(e.done)
 	defer func() {
@@ -173,54 +178,54 @@
 			err = fmt.Errorf("core: panic: %v\n%s", p, debug.Stack())
 		}
 	}()
-	e.begin()
+	e.startTimers()
 	for {
 		select {
 		case f := <-e.queue:
-			e.tick()
+			e.readClock()
 			f()
-		case <-e.wake.C:
+		case <-e.wakeTimer.C:
 		case <-ctx.Done():
 			return nil
 		}
-		e.tick()
-		e.fire()
-		e.settle()
-		e.arm()
+		e.readClock()
+		e.fireTimers()
+		e.runDeferred()
+		e.armWakeTimer()
 	}
 }
 
-// begin starts what runs as long as the engine does.
-func (e *Engine) begin() {
-	e.tick()
-	e.reporter = e.in(e.every, e.report)
-	e.in(recentSpan, e.forget)
+// startTimers starts the periodic tasks of the engine.
+func (e *Engine) startTimers() {
+	e.readClock()
+	e.reportTimer = e.schedule(e.reportInterval, e.reportCounts)
+	e.schedule(endedRetention, e.rotateEnded)
 	if e.Storm != nil {
-		e.in(stormEvery, e.followStorm)
+		e.schedule(stormInterval, e.tickStorm)
 	}
 }
 
-// Step handles all that was handed in and all timers that are due, in place of Run, and returns the time of the
-// next timer on the engine's Clock.
+// Step replaces Run where Clock is set. It handles all queued events and all due timers, and returns the time of the
+// next timer on that clock.
 func (e *Engine) Step() time.Duration {
-	if e.reporter == nil {
-		e.begin()
+	if e.reportTimer == nil {
+		e.startTimers()
 	}
-	for e.tick(); ; {
-		if len(e.stepped) > 0 {
-			f := e.stepped[0]
-			e.stepped = e.stepped[1:]
+	for e.readClock(); ; {
+		if len(e.stepQueue) > 0 {
+			f := e.stepQueue[0]
+			e.stepQueue = e.stepQueue[1:]
 			f()
-		} else if e.trim(); e.timers.list[0].at > e.now { // the reporter is always there
+		} else if e.dropStoppedTimers(); e.timers.list[0].at > e.now { // never empty: reportTimer is always pending
 			return e.timers.list[0].at
 		}
-		e.fire()
-		e.settle()
+		e.fireTimers()
+		e.runDeferred()
 	}
 }
 
-// tick reads the clock.
-func (e *Engine) tick() {
+// readClock sets now from the clock.
+func (e *Engine) readClock() {
 	if e.Clock != nil {
 		e.now = e.Clock()
 	} else {
@@ -228,22 +233,24 @@
 	}
 }
 
-// settle runs what had to wait until the module returned, such as an outcome that a guard made.
-func (e *Engine) settle() {
-	for len(e.after) > 0 {
-		f := e.after[0]
-		e.after = e.after[1:]
+// runDeferred runs the functions that had to wait until the module returned, such as the report of an outcome that a
+// guard produced.
+func (e *Engine) runDeferred() {
+	for len(e.deferred) > 0 {
+		f := e.deferred[0]
+		e.deferred = e.deferred[1:]
 		f()
 	}
 }
 
-// timer is an event to come. One that is no longer wanted is marked by a nil do.
+// timer is a scheduled callback. A stopped timer has a nil callback and stays in the heap until it reaches the head.
 type timer struct {
-	at  time.Duration
-	seq uint64
-	do  func()
+	at       time.Duration
+	seq      uint64 // order of creation, breaks ties
+	callback func()
 }
 
+// timers is a heap ordered by due time.
 type timers struct {
 	list []*timer
 	seq  uint64
@@ -264,47 +271,47 @@
 	return last
 }
 
-// in runs f after a delay.
-func (e *Engine) in(delay time.Duration, f func()) *timer {
+// schedule runs f in the owner's goroutine after a delay.
+func (e *Engine) schedule(delay time.Duration, f func()) *timer {
 	e.timers.seq++
-	t := &timer{at: e.now + max(0, delay), seq: e.timers.seq, do: f}
+	t := &timer{at: e.now + max(0, delay), seq: e.timers.seq, callback: f}
 	heap.Push(&e.timers, t)
 	return t
 }
 
-// stop takes a timer back.
+// stop cancels a timer. It accepts a nil timer.
 func (t *timer) stop() {
 	if t != nil {
-		t.do = nil
+		t.callback = nil
 	}
 }
 
-// fire runs the timers that are due; one that they add for now comes in the next round.
-func (e *Engine) fire() {
+// fireTimers runs the timers that are due. A timer that one of them schedules without delay runs in the next round.
+func (e *Engine) fireTimers() {
 	last := e.timers.seq
 	for e.timers.Len() > 0 && e.timers.list[0].at <= e.now && e.timers.list[0].seq <= last {
-		if t := heap.Pop(&e.timers).(*timer); t.do != nil {
-			t.do()
+		if t := heap.Pop(&e.timers).(*timer); t.callback != nil {
+			t.callback()
 		}
 	}
 }
 
-// trim takes off timers at the head that are no longer wanted.
-func (e *Engine) trim() {
-	for e.timers.Len() > 0 && e.timers.list[0].do == nil {
+// dropStoppedTimers removes stopped timers from the head of the heap.
+func (e *Engine) dropStoppedTimers() {
+	for e.timers.Len() > 0 && e.timers.list[0].callback == nil {
 		heap.Pop(&e.timers)
 	}
 }
 
-// arm sets the alarm for the next timer.
-func (e *Engine) arm() {
-	e.trim()
+// armWakeTimer sets the wake-up of Run for the next timer.
+func (e *Engine) armWakeTimer() {
+	e.dropStoppedTimers()
 	if e.timers.Len() > 0 {
-		e.wake.Reset(max(0, e.timers.list[0].at-time.Since(e.Origin)))
+		e.wakeTimer.Reset(max(0, e.timers.list[0].at-time.Since(e.Origin)))
 	}
 }
 
-// Listed takes the name service's word on the cores.
+// Listed applies a membership list, or a change to it, from discovery.
 func (e *Engine) Listed(m brookmux.Members) {
 	e.post(func() {
 		before := maps.Clone(e.switches)
@@ -312,76 +319,77 @@
 			clear(e.switches)
 		}
 		for _, s := range m.Switches {
-			e.noteStart(before, s)
-			delete(e.moved, s.ID) // listed under its own id again
+			e.reportStart(before, s)
+			delete(e.movedIDs, s.ID) // listed under its own id again
 			if e.switches[s.ID] = s; s.State == brookmux.Gone {
 				delete(e.switches, s.ID)
 			}
-			e.numbers[s.Number] = true
+			e.knownExchanges[s.Number] = true
 		}
 		e.ctl.Members(e.now, m)
-		e.tellConditions()
+		e.publishConditions()
 		e.Config.Log.Debug("members", "kind", m.Kind, "switches", m.Switches, "now", e.now)
 	})
 }
 
-// Reported takes a core's report that belongs to no call.
+// Reported handles a report of a core that belongs to no call.
 func (e *Engine) Reported(from brookmux.SwitchID, r brookmux.Report, unasked bool) {
-	e.post(func() { e.learn(from, r, unasked) })
+	e.post(func() { e.applyReport(from, r, unasked) })
 }
 
-// learn hands a report to the module.
-func (e *Engine) learn(from brookmux.SwitchID, r brookmux.Report, unasked bool) {
+// applyReport passes a report to the module and keeps the size of the trunk group.
+func (e *Engine) applyReport(from brookmux.SwitchID, r brookmux.Report, unasked bool) {
 	if s, ok := e.switches[from]; ok && r.Size >= 0 {
-		e.sizes[s.Number] = r.Size
+		e.groupSizes[s.Number] = r.Size
 	}
 	e.ctl.Probed(e.now, brookmux.ProbeResult{Switch: from, OK: true, Unasked: unasked, Report: r})
 }
 
-// SetMostOpen bounds the calls that may be owed an answer at a time; 0 means any number.
-func (e *Engine) SetMostOpen(n int) { e.post(func() { e.most = n }) }
+// SetMostOpen sets the maximum number of calls that may await a final answer at a time; 0 means no limit.
+func (e *Engine) SetMostOpen(n int) { e.post(func() { e.maxOpen = n }) }
 
-// SetReportEvery sets the time between two reports of the totals; 0 means the usual one.
+// SetReportEvery sets the time between two reports of the totals; 0 or less means the default.
 func (e *Engine) SetReportEvery(d time.Duration) {
 	e.post(func() {
 		if d <= 0 {
-			d = countsEvery
+			d = countsInterval
 		}
-		if e.every != d {
-			e.every = d
-			e.reporter.stop()
-			e.reporter = e.in(d, e.report)
+		if e.reportInterval != d {
+			e.reportInterval = d
+			e.reportTimer.stop()
+			e.reportTimer = e.schedule(d, e.reportCounts)
 		}
 	})
 }
 
-// Drain lets the calls finish that are owed an answer or stand; the channel closes once there are none and no more can
-// come, or when they were waited for long enough. Set-ups that still come after a while are turned away.
+// Drain starts the shutdown: open calls get their answers and calls that stand may finish. Set-ups that arrive after
+// drainAcceptance are rejected. The channel is closed when no call is left and no more are expected, or after drainMax.
 func (e *Engine) Drain() <-chan struct{} {
 	e.post(func() {
-		e.drainFrom = max(1, e.now)
-		e.in(drainMin, e.checkDrained)
-		e.in(drainMax, e.endDrain)
+		e.drainStart = max(1, e.now)
+		e.schedule(drainMin, e.checkDrained)
+		e.schedule(drainMax, e.finishDrain)
 	})
 	return e.drained
 }
 
-// draining tells whether set-ups are turned away because the program is about to end.
-func (e *Engine) draining() bool { return e.drainFrom > 0 && e.now-e.drainFrom >= drainAdmit }
+// draining reports whether set-ups are rejected because the process is shutting down.
+func (e *Engine) draining() bool { return e.drainStart > 0 && e.now-e.drainStart >= drainAcceptance }
 
-// checkDrained ends the drain when nothing is left.
+// checkDrained finishes the drain when no call is left and drainMin has passed.
 func (e *Engine) checkDrained() {
-	if e.drainFrom > 0 && e.now-e.drainFrom >= drainMin && len(e.calls) == 0 {
-		e.endDrain()
+	if e.drainStart > 0 && e.now-e.drainStart >= drainMin && len(e.calls) == 0 {
+		e.finishDrain()
 	}
 }
 
-// endDrain closes the channel of Drain.
-func (e *Engine) endDrain() {
+// finishDrain closes the channel returned by Drain, once.
+func (e *Engine) finishDrain() {
 	select {
 	case <-e.drained:
 	default:
-		e.Config.Log.Info("drained", "took", e.now-e.drainFrom, "standing", len(e.calls)-e.open, "open", e.open, "turned_away", e.counts.Draining)
+		e.Config.Log.Info("drained", "took", e.now-e.drainStart, "standing", len(e.calls)-e.openCalls,
+			"open", e.openCalls, "turned_away", e.counts.Draining)
 		close(e.drained)
 	}
 }
--- a/internal/core/intake.go
+++ b/internal/core/intake.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	beside                = 512 // bytes that a request takes beside its description, about
-	orphanReleaseInterval = 10 * time.Millisecond
-	orphanReleaseBurst    = 256 // hang-ups of calls that nobody here knows, passed on at once
-	causeRefused          = 111 // protocol error, unspecified
+	requestOverhead       = 512                   // approximate bytes of a request without its description
+	orphanReleaseInterval = 10 * time.Millisecond // mean interval of hang-ups of unknown calls that are passed on
+	orphanReleaseBurst    = 256                   // hang-ups of unknown calls that may be passed on at once
+	causeProtocolError    = 111                   // protocol error, unspecified
 )
 
-// Offer takes a request in: the first stage. It may wait while the queue is full, so that a caller that
-// sends faster than calls can be decided is slowed by its own connection. Descriptions are held only as far as
-// memory was set aside for them.
+// Offer submits a request, the first stage. It may block while the queue is full, so that a caller that sends faster
+// than calls can be decided is slowed down on its own connection. A request that would exceed the memory limit is
+// rejected, and its description is dropped at once.
 func (e *Engine) Offer(r Request) {
-	size := int64(len(r.Description) + beside)
-	if most := e.mostBytes.Load(); e.held.Add(size) > most && most > 0 {
-		e.held.Add(-size)
+	size := int64(len(r.Description) + requestOverhead)
+	if limit := e.maxBytes.Load(); e.heldBytes.Add(size) > limit && limit > 0 {
+		e.heldBytes.Add(-size)
 		r.Description = nil
 		e.post(func() {
 			e.counts.Full++
@@ -28,134 +28,137 @@
 		return
 	}
 	e.post(func() {
-		if !e.takeIn(r, size) {
-			e.held.Add(-size)
+		if !e.accept(r, size) {
+			e.heldBytes.Add(-size)
 		}
 	})
 }
 
-// takeIn enters a request in the table, and tells whether it did.
-func (e *Engine) takeIn(r Request, size int64) bool {
+// accept adds a request to the call table and reports whether it did. Otherwise it has answered the caller.
+func (e *Engine) accept(r Request, size int64) bool {
 	if e.draining() {
 		e.counts.Draining++
 		r.Caller.Refuse(r.Key, Verdict{Wait: e.Settings.Module.MaxRetryAfter, Cause: Congestion, Why: "draining"})
 		return false
 	}
-	if why := e.unfit(r); why != "" {
-		e.counts.Unfit++
-		r.Caller.Refuse(r.Key, Verdict{Failed: true, Bad: true, Cause: NotImplemented, Why: why})
+	if reason := e.validateRequest(r); reason != "" {
+		e.counts.Invalid++
+		r.Caller.Refuse(r.Key, Verdict{Failed: true, Bad: true, Cause: NotImplemented, Why: reason})
 		return false
 	}
-	if e.calls[r.Key] != nil || e.ended(r.Key) {
-		// Whoever uses another call's id must not get that call's answer, nor take it from its caller. One that
-		// is over stays over: what a core still says of it must not reach a later call.
+	if e.calls[r.Key] != nil || e.recentlyEnded(r.Key) {
+		// A caller that uses the id of another call must neither receive that call's answer nor divert it. The id of an
+		// ended call can't be used again: late messages of a core for the ended call must not reach a later one.
 		e.counts.Repeated++
-		r.Caller.Refuse(r.Key, Verdict{Failed: true, Bad: true, Cause: causeRefused, Why: "id is in use"})
+		r.Caller.Refuse(r.Key, Verdict{Failed: true, Bad: true, Cause: causeProtocolError, Why: "id is in use"})
 		return false
 	}
-	if !e.started {
-		e.started = true
+	if !e.firstRequestSeen {
+		e.firstRequestSeen = true
 		if e.Took != nil {
 			e.Took()
 		}
 	}
 	e.lastID++
-	if most := e.Settings.Module.Classes[e.classes[r.Class]].Deadline; r.Left <= 0 || most > 0 && r.Left > most {
-		r.Left = most
+	if maxLeft := e.Settings.Module.Classes[e.classes[r.Class]].Deadline; r.Left <= 0 || maxLeft > 0 && r.Left > maxLeft {
+		r.Left = maxLeft
 	}
-	c := &call{Request: r, id: e.lastID, at: e.now, expires: e.now + r.Left - answerEarly, size: size}
+	c := &call{Request: r, id: e.lastID, at: e.now, expires: e.now + r.Left - answerMargin, size: size}
 	e.calls[r.Key], e.byID[c.id] = c, c
-	e.open++
+	e.openCalls++
 	e.counts.Taken++
-	c.deadline = e.in(c.expires-e.now+guardLate, func() { e.overdue(c) })
+	c.deadlineTimer = e.schedule(c.expires-e.now+deadlineGuardDelay, func() { e.answerOverdue(c) })
 	if e.stormAdmits(c) {
 		e.admit(c)
 	}
 	return true
 }
 
-// overdue answers a call that the module left open past its deadline.
-func (e *Engine) overdue(c *call) {
+// answerOverdue refuses a call that the module has not answered by its deadline.
+func (e *Engine) answerOverdue(c *call) {
 	if c.answered {
 		return
 	}
-	e.guard("deadline", c)
-	e.giveUp(c)
+	e.recordGuard("deadline", c)
+	e.releaseAttempt(c)
 	e.ctl.Left(e.now, c.id)
 	e.refuse(c, Verdict{Cause: TimerExpiry, Why: "deadline passed"})
 }
 
-// Withdraw takes a caller's word that it no longer waits for a set-up of its own. then runs, in the owner's
-// goroutine, with whether the call was still owed an answer, and whether it is or was one that is known here.
-func (e *Engine) Withdraw(who Caller, key string, then func(open, known bool)) {
+// Withdraw cancels a set-up on behalf of its caller, which gets no final answer then. done runs in the owner's
+// goroutine: open is set if the call was still awaiting its answer, known if it is a call of this caller or has
+// recently ended.
+func (e *Engine) Withdraw(caller Caller, key string, done func(open, known bool)) {
 	e.post(func() {
 		c := e.calls[key]
-		open := c != nil && !c.answered && c.Caller == who
+		open := c != nil && !c.answered && c.Caller == caller
 		if open {
 			e.counts.Withdrawn++
-			e.leave(c)
+			e.abandon(c)
 		}
-		then(open, c != nil && c.Caller == who || e.ended(key))
+		done(open, c != nil && c.Caller == caller || e.recentlyEnded(key))
 	})
 }
 
-// CallerLost takes word that a caller's connection is over: set-ups open on it are withdrawn, calls that
-// stand go on.
-func (e *Engine) CallerLost(who Caller, keys []string) {
+// CallerLost handles the loss of a caller's connection: the open set-ups among keys are cancelled, calls that stand
+// continue.
+func (e *Engine) CallerLost(caller Caller, keys []string) {
 	e.post(func() {
 		for _, k := range keys {
-			if c := e.calls[k]; c != nil && !c.answered && c.Caller == who {
+			if c := e.calls[k]; c != nil && !c.answered && c.Caller == caller {
 				e.counts.CallerLost++
-				e.leave(c)
+				e.abandon(c)
 			}
 		}
 	})
 }
 
-// leave ends a call whose caller has gone: its attempt is called off, no answer is owed.
-func (e *Engine) leave(c *call) {
-	e.giveUp(c)
+// abandon ends a call whose caller no longer waits: it releases the open attempt and removes the call without an
+// answer.
+func (e *Engine) abandon(c *call) {
+	e.releaseAttempt(c)
 	e.ctl.Left(e.now, c.id)
 	e.close(c)
 }
 
-// giveUp calls the open attempt off.
-func (e *Engine) giveUp(c *call) {
-	if l := c.out; l != nil {
-		l.timeout.stop()
-		e.Trunks.Release(l.to, c.Key, NormalClearing)
-		c.out = nil
+// releaseAttempt cancels the open attempt of a call, if any, and releases it at its core.
+func (e *Engine) releaseAttempt(c *call) {
+	if a := c.current; a != nil {
+		a.timeout.stop()
+		e.Trunks.Release(a.to, c.Key, NormalClearing)
+		c.current = nil
 	}
 }
 
-// Hangup takes a caller's release of a call that stands, or of a set-up of its own. One that this process does
-// not know, as after a restart, is passed on to every core; then tells whether it was known.
-func (e *Engine) Hangup(who Caller, key string, cause Cause, then func(known bool)) {
+// Hangup handles a caller's release of a call that stands or of its own open set-up. The release of a call unknown to
+// this process, for example after a restart, is passed on to every core, within a rate limit. done runs in the owner's
+// goroutine and receives whether the call was known; an open set-up of another caller counts as unknown.
+func (e *Engine) Hangup(caller Caller, key string, cause Cause, done func(known bool)) {
 	e.post(func() {
 		c := e.calls[key]
-		known := c != nil || e.ended(key)
+		known := c != nil || e.recentlyEnded(key)
 		switch {
-		case c != nil && c.out != nil && c.out.stands:
-			l := c.out
-			e.Trunks.Release(l.to, key, cause)
+		case c != nil && c.current != nil && c.current.stands:
+			a := c.current
+			e.Trunks.Release(a.to, key, cause)
 			e.counts.HungUp++
-			e.ctl.Ended(e.now, brookmux.Outcome{Call: c.id, Attempt: l.number, Switch: l.to,
-				Result: brookmux.ResultCancelled, Took: e.now - l.at, Over: true, Report: noReport})
+			e.ctl.Ended(e.now, brookmux.Outcome{Call: c.id, Attempt: a.number, Switch: a.to,
+				Result: brookmux.ResultCancelled, Took: e.now - a.at, Over: true, Report: noReport})
 			e.close(c)
-		case c != nil && c.Caller == who: // a BYE that overtook its CANCEL
+		case c != nil && c.Caller == caller: // a BYE that overtook the CANCEL
 			e.counts.Withdrawn++
-			e.leave(c)
-		case c != nil: // not the caller's own, and not yet a call
+			e.abandon(c)
+		case c != nil: // set up by another caller and not standing yet
 			known = false
-		case !known && e.orphanReleaseAllowed(): // set up by an earlier process of this name
+		case !known && e.orphanReleaseAllowed(): // may be set up by an earlier process of this controller
 			e.Trunks.ReleaseAnywhere(key, cause)
 		}
-		then(known)
+		done(known)
 	})
 }
 
-// orphanReleaseAllowed tells whether one more hang-up of an unknown call may go to every core. Each is a message to all
-// of them, and anyone can make up ids.
+// orphanReleaseAllowed reports whether one more hang-up of an unknown call may be passed on, and counts it against the
+// rate limit. Each one costs a message to every core, and any caller can invent ids.
 func (e *Engine) orphanReleaseAllowed() bool {
 	e.orphanReleasedAt = max(e.orphanReleasedAt, e.now-orphanReleaseBurst*orphanReleaseInterval)
 	if e.orphanReleasedAt+orphanReleaseInterval > e.now {
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -7,174 +7,177 @@
 	"brookmux"
 )
 
-// ownTime is how close to the end of a set-up's time its core may find that this is over.
-const ownTime = 50 * time.Millisecond
+// timeoutTolerance is how long before the engine's own timer a core may end a set-up because its time is over.
+const timeoutTolerance = 50 * time.Millisecond
 
-// Answered takes a core's word that a call stands, with its description, and relays it.
+// Answered handles a core's answer that a call stands and relays it with its description to the caller.
 func (e *Engine) Answered(from brookmux.SwitchID, key string, description []byte, r brookmux.Report) {
 	e.post(func() {
-		from = e.present(from)
-		e.learn(from, r, false)
+		from = e.currentID(from)
+		e.applyReport(from, r, false)
 		c := e.calls[key]
-		if !c.has(from) || c.out.stands {
-			// It crossed the caller's CANCEL or the time-out: the core has been or is told to let go.
+		if !c.hasAttemptAt(from) || c.current.stands {
+			// The answer crossed the caller's CANCEL or the timeout. In both cases the core is sent a release.
 			e.counts.LateAnswers++
 			return
 		}
-		l := c.out
-		l.timeout.stop()
-		l.stands = true
-		e.answer(c)
+		a := c.current
+		a.timeout.stop()
+		a.stands = true
+		e.markAnswered(c)
 		c.Caller.Stands(key, description)
-		e.debug("stands", c, l, r)
-		e.ctl.Stands(e.now, brookmux.Stands{Call: c.id, Attempt: l.number, Took: e.now - l.at})
+		e.logAttempt("stands", c, a, r)
+		e.ctl.Stands(e.now, brookmux.Stands{Call: c.id, Attempt: a.number, Took: e.now - a.at})
 	})
 }
 
-// Ended takes a core's end of an attempt or of a call that stood.
+// Ended handles the end of an attempt, or of a call that stood, as sent by a core.
 func (e *Engine) Ended(from brookmux.SwitchID, key string, o Outcome) {
 	e.post(func() {
-		from = e.present(from)
+		from = e.currentID(from)
 		c := e.calls[key]
 		switch {
-		case c.has(from) && !o.Elsewhere:
+		case c.hasAttemptAt(from) && !o.Elsewhere:
 			e.finishAttempt(c, o)
 		case c.endedUnresolved(from, o):
-			e.learn(from, o.Report, false)
-			e.giveUp(c)
+			e.applyReport(from, o.Report, false)
+			e.releaseAttempt(c)
 			e.ctl.Left(e.now, c.id)
 			e.answerUnresolved(c)
-		case c == nil && !e.ended(key) && e.ReleaseOrphan != nil:
-			// Set up by an earlier process of this name: its caller still has to hear that it is over.
+		case c == nil && !e.recentlyEnded(key) && e.ReleaseOrphan != nil:
+			// Set up by an earlier process of this controller: its caller must still be notified of the end.
 			e.counts.Orphans++
 			e.ReleaseOrphan(key, o.Cause)
-			e.remember(key)
-			e.learn(from, o.Report, false)
+			e.rememberEnded(key)
+			e.applyReport(from, o.Report, false)
 		default:
 			if o.Elsewhere {
-				e.ignored(from, key, "release of a set-up of another connection")
+				e.countIgnored(from, key, "release of a set-up of another connection")
 			}
-			e.learn(from, o.Report, false)
+			e.applyReport(from, o.Report, false)
 		}
 	})
 }
 
-// Lost takes word that what was open at a core is lost: set-ups on a connection that is over, or, with Cut,
-// calls that stood on a core that has died. An empty list of keys means every call there.
-func (e *Engine) Lost(at brookmux.SwitchID, keys []string, l Loss) {
+// Lost handles the loss of the set-ups on a connection that is closed or, with Cut, also of the calls that stood at a
+// core that has failed. Nil keys mean every call at that core.
+func (e *Engine) Lost(at brookmux.SwitchID, keys []string, loss Loss) {
 	e.post(func() {
-		at = e.present(at)
+		at = e.currentID(at)
 		if keys == nil {
 			for k, c := range e.calls {
-				if c.has(at) {
+				if c.hasAttemptAt(at) {
 					keys = append(keys, k)
 				}
 			}
-			slices.Sort(keys) // the same events give the same decisions
+			slices.Sort(keys) // for decisions that do not depend on map order
 		}
 		for _, k := range keys {
-			if c := e.calls[k]; c.has(at) && (l.Cut || !c.out.stands) && (l.Before <= 0 || c.out.at < l.Before) {
-				if l.Unsure && c.out.stands {
-					e.Trunks.Release(at, k, l.Outcome.Cause)
+			if c := e.calls[k]; c.hasAttemptAt(at) && (loss.Cut || !c.current.stands) &&
+				(loss.Before <= 0 || c.current.at < loss.Before) {
+				if loss.Unsure && c.current.stands {
+					e.Trunks.Release(at, k, loss.Outcome.Cause)
 				}
-				if !c.out.stands && !l.Cut && l.Outcome.Result == brookmux.ResultReset {
+				if !c.current.stands && !loss.Cut && loss.Outcome.Result == brookmux.ResultReset {
 					c.unresolvedAt = append(c.unresolvedAt, at)
-					e.Trunks.Release(at, k, NormalClearing) // it may stand there, its answer unheard
+					e.Trunks.Release(at, k, NormalClearing) // it may stand there, with its answer lost
 				}
-				e.finishAttempt(c, l.Outcome)
+				e.finishAttempt(c, loss.Outcome)
 			}
 		}
 	})
 }
 
-// Moved takes word that what is open under one id is at the core of another: it had taken the address before it was
-// listed. What is still said under the former id is the latter's.
+// Moved handles the notice that what is open under one core id belongs to the core with another id, which took over the
+// address before it was listed. Later messages under the former id are attributed to the new one.
 func (e *Engine) Moved(from, to brookmux.SwitchID) {
 	e.post(func() {
-		if len(e.moved) >= mostMoved {
-			clear(e.moved) // they are of use for a moment only
+		if len(e.movedIDs) >= maxMovedIDs {
+			clear(e.movedIDs) // an entry is needed only for a short time
 		}
-		e.moved[from] = to
+		e.movedIDs[from] = to
 		for _, c := range e.calls {
-			if c.has(from) {
-				c.out.to = to
+			if c.hasAttemptAt(from) {
+				c.current.to = to
 			}
 		}
 	})
 }
 
-// present is the id under which a core is listed now.
-func (e *Engine) present(id brookmux.SwitchID) brookmux.SwitchID {
-	if to, ok := e.moved[id]; ok {
+// currentID returns the id under which a core is listed now.
+func (e *Engine) currentID(id brookmux.SwitchID) brookmux.SwitchID {
+	if to, ok := e.movedIDs[id]; ok {
 		return to
 	}
 	return id
 }
 
-// Ignored counts what a core sent beside what it owes: a second copy, or an answer that nobody asked for.
+// Ignored counts a message of a core that matches no open attempt: a duplicate or an unsolicited answer.
 func (e *Engine) Ignored(from brookmux.SwitchID, key, what string) {
-	e.post(func() { e.ignored(from, key, what) })
+	e.post(func() { e.countIgnored(from, key, what) })
 }
 
-// ignored is Ignored in the owner's goroutine.
-func (e *Engine) ignored(from brookmux.SwitchID, key, what string) {
+// countIgnored is Ignored for use in the owner's goroutine.
+func (e *Engine) countIgnored(from brookmux.SwitchID, key, what string) {
 	e.counts.Ignored++
 	e.Config.Log.Debug("ignored", "core", from, "call", key, "what", what)
 }
 
-// finishAttempt ends a call's open attempt and tells the module, which may send again or give the final answer.
+// finishAttempt ends a call's attempt and reports the outcome to the module, which may send another attempt or give the
+// final answer.
 func (e *Engine) finishAttempt(c *call, o Outcome) {
-	l := c.out
-	unresolved := o.Result == brookmux.ResultOK && !l.stands
-	if unresolved && l.timeout.at-e.now <= ownTime {
-		// A core that gives a set-up up at the end of its time says so with a normal clearing, often just
-		// before our own timer. To the module an end is no end of a call that never stood: it would wait
-		// for ever, and the caller with it.
+	a := c.current
+	unresolved := o.Result == brookmux.ResultOK && !a.stands
+	if unresolved && a.timeout.at-e.now <= timeoutTolerance {
+		// A core whose set-up times out ends it with normal clearing, often just before the engine's own timer. The
+		// module does not take a normal end as the end of a call that never stood, and would wait for ever, and the
+		// caller with it.
 		o.Result, unresolved = brookmux.ResultTimeout, false
 	}
-	l.timeout.stop()
-	c.out, c.last = nil, o.Result
+	a.timeout.stop()
+	c.current, c.lastResult = nil, o.Result
 	switch o.Result {
 	case brookmux.ResultTimeout, brookmux.ResultReset, brookmux.ResultCancelled:
-		c.notUntil = e.now + e.Settings.Module.ReleaseWait
+		c.noSendUntil = e.now + e.Settings.Module.ReleaseWait
 	}
-	e.counts.outcome(o.Result, l.stands)
-	e.stormOutcome(c, l, o)
-	e.debug("ended", c, l, o.Report, "result", o.Result, "reason", o.Reason)
-	if l.stands {
+	e.counts.addOutcome(o.Result, a.stands)
+	e.stormOutcome(c, a, o)
+	e.logAttempt("ended", c, a, o.Report, "result", o.Result, "reason", o.Reason)
+	if a.stands {
 		c.Caller.Release(c.Key, o.Cause)
 	}
-	e.ctl.Ended(e.now, brookmux.Outcome{Call: c.id, Attempt: l.number, Switch: l.to, Result: o.Result,
-		Reason: o.Reason, Took: e.now - l.at, Over: l.stands, Report: o.Report})
+	e.ctl.Ended(e.now, brookmux.Outcome{Call: c.id, Attempt: a.number, Switch: a.to, Result: o.Result,
+		Reason: o.Reason, Took: e.now - a.at, Over: a.stands, Report: o.Report})
 	switch {
-	case l.stands:
+	case a.stands:
 		e.close(c)
 	case unresolved:
 		e.answerUnresolved(c)
 	}
 }
 
-// answerUnresolved answers a call that stood, whose answer was lost or is late, and that has come to its end. Whatever
-// was made of it by another set-up would be a second call under its id: the caller is told now.
+// answerUnresolved refuses a call that stood at a core and has ended there before its answer, lost or late, was
+// received. Another set-up would make a second call under the same id, so the caller is answered now.
 func (e *Engine) answerUnresolved(c *call) {
 	e.counts.Unresolved++
-	e.refuse(c, Verdict{Failed: !e.harmless(c), Cause: TemporaryFailure, Why: "over before its answer was heard"})
+	e.refuse(c, Verdict{Failed: !e.repeatable(c), Cause: TemporaryFailure,
+		Why: "call ended before its answer was received"})
 }
 
-// harmless tells whether a call that may have run may be asked for again.
-func (e *Engine) harmless(c *call) bool {
+// repeatable reports whether a call that may already have been served can safely be requested again.
+func (e *Engine) repeatable(c *call) bool {
 	k := e.Settings.Module.Classes[e.classes[c.Class]]
 	return k.Effect == brookmux.Safe || k.Effect == brookmux.Keyed && k.Group == brookmux.ScopeAll
 }
 
-// refuse gives the final answer that a call does not stand.
+// refuse gives the negative final answer to a call, releases its open attempt and removes it from the table.
 func (e *Engine) refuse(c *call, v Verdict) {
 	if c.answered {
-		e.guard("second final answer", c)
+		e.recordGuard("second final answer", c)
 		return
 	}
-	if c.out != nil {
-		e.giveUp(c)
+	if c.current != nil {
+		e.releaseAttempt(c)
 	}
 	if v.Failed {
 		e.counts.Failed++
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -6,12 +6,12 @@
 	"brookmux"
 )
 
-// host carries out what the module asks. The module must not be called from within: what has to go back to
-// it waits in Engine.after.
+// host implements brookmux.Host for the decision module. Its methods run inside a call of the module and must not call
+// it back: they queue such calls in Engine.deferred.
 type host struct{ e *Engine }
 
-// Send is the module's choice of a route. The guards on the rules stand between it and the trunks: an attempt
-// that would break one never leaves, and the module hears that it was moot.
+// Send starts an attempt on the route that the module chose. An attempt that would break a rule is not sent, and its
+// outcome is reported to the module as moot.
 func (h host) Send(id brookmux.CallID, to brookmux.SwitchID, timeout time.Duration) {
 	e := h.e
 	c := e.byID[id]
@@ -20,76 +20,77 @@
 	}
 	number := c.sends
 	c.sends++
-	if why := e.forbids(c, to); why != "" {
-		e.guard(why, c)
-		e.after = append(e.after, func() {
+	if rule := e.violatedRule(c, to); rule != "" {
+		e.recordGuard(rule, c)
+		e.deferred = append(e.deferred, func() {
 			e.ctl.Ended(e.now, brookmux.Outcome{Call: id, Attempt: number, Switch: to,
 				Result: brookmux.ResultMoot, Report: noReport,
 				Reason: brookmux.ReasonHeldBack})
 		})
 		return
 	}
-	if e.Storm != nil && !e.Storm.Sent(e.now, c.Destination, c.failed > 0) {
-		// Who has failed and would only press a destination that serves others gets its answer now.
-		e.after = append(e.after, func() { e.turnAway(c, "retry budget spent") })
+	if e.Storm != nil && !e.Storm.Sent(e.now, c.Destination, c.failedAttempts > 0) {
+		// A further attempt would only add load to a destination that is serving other calls: refuse the call now.
+		e.deferred = append(e.deferred, func() { e.rejectOverBudget(c, "retry budget exhausted") })
 		return
 	}
 	e.send(c, number, to, timeout)
 }
 
-// forbids names the rule that a send would break, or nothing.
-func (e *Engine) forbids(c *call, to brookmux.SwitchID) string {
+// violatedRule names the rule that a send would break, or returns an empty string.
+func (e *Engine) violatedRule(c *call, to brookmux.SwitchID) string {
 	switch {
 	case c.answered:
 		return "send after the final answer"
-	case c.out != nil:
+	case c.current != nil:
 		return "second attempt"
-	case e.now < c.notUntil:
+	case e.now < c.noSendUntil:
 		return "send within the release wait"
 	case e.switches[to].State != brookmux.Ready:
-		return "send to a core that drains or is gone"
+		return "send to a core that is draining or gone"
 	case c.Transit && e.switches[to].Number != c.Destination:
-		return "call in transit to another than its destination"
+		return "transit call to an exchange other than its destination"
 	case !e.Settings.Module.Pools && e.switches[to].Number == e.Settings.Module.Here:
-		return "send to the own exchange"
-	case e.tooCold(to): // last: it counts what it lets pass
-		return "set-ups to a cold core"
+		return "send to the local exchange"
+	case e.exceedsColdLimit(to): // last, since it counts the set-ups that it allows
+		return "too many set-ups to a cold core"
 	}
 	return ""
 }
 
-// Refuse and Fail are the module's final answers.
+// Refuse gives the module's final answer to a call that it rejects, with the retry advice for its caller.
 func (h host) Refuse(id brookmux.CallID, wait time.Duration) {
 	if c := h.e.byID[id]; c != nil {
-		h.e.refuse(c, h.e.advised(c, Verdict{Wait: wait, Cause: h.e.cause(c), Why: "turned away"}))
+		h.e.refuse(c, h.e.withRetryAdvice(c, Verdict{Wait: wait, Cause: h.e.refusalCause(c),
+			Why: "rejected by the decision module"}))
 	}
 }
 
-// cause is that of a call turned away: its time ran out, or there was no room for it.
-func (e *Engine) cause(c *call) Cause {
+// refusalCause returns the cause of a rejected call: timer expiry after its deadline, else congestion.
+func (e *Engine) refusalCause(c *call) Cause {
 	if e.now >= c.expires {
 		return TimerExpiry
 	}
 	return Congestion
 }
 
-// Fail gives the call up.
+// Fail gives the final answer to a call that the module abandons.
 func (h host) Fail(id brookmux.CallID) {
 	if c := h.e.byID[id]; c != nil {
-		h.e.refuse(c, Verdict{Failed: true, Cause: TemporaryFailure, Why: "given up"})
+		h.e.refuse(c, Verdict{Failed: true, Cause: TemporaryFailure, Why: "abandoned by the decision module"})
 	}
 }
 
-// Probe does nothing: the deployment rules probes out.
+// Probe does nothing: this deployment does not use probes.
 func (h host) Probe(brookmux.SwitchID) {}
 
-// SetTimer implements brookmux.Host.
+// SetTimer schedules a timer event for the module.
 func (h host) SetTimer(delay time.Duration, token uint64) {
-	h.e.in(delay, func() { h.e.ctl.Timer(h.e.now, token) })
+	h.e.schedule(delay, func() { h.e.ctl.Timer(h.e.now, token) })
 }
 
-// Follow does nothing: the directory follows the name service from the start.
+// Follow does nothing: discovery delivers list changes from the start.
 func (h host) Follow() {}
 
-// Log implements brookmux.Host.
+// Log writes a message of the module to the log.
 func (h host) Log(line string) { h.e.Config.Log.Info("module", "line", line) }
--- a/internal/core/send.go
+++ b/internal/core/send.go
@@ -6,25 +6,25 @@
 	"brookmux"
 )
 
-// send starts an attempt, with the timer that gives it up.
+// send starts an attempt and its timer. The timeout never exceeds the time left to the call.
 func (e *Engine) send(c *call, number int, to brookmux.SwitchID, timeout time.Duration) {
 	if timeout <= 0 || timeout > c.expires-e.now {
 		timeout = c.expires - e.now
 	}
-	l := &attempt{number: number, to: to, at: e.now}
-	c.out = l
-	l.timeout = e.in(timeout, func() { e.timedOut(c, l) })
+	a := &attempt{number: number, to: to, at: e.now}
+	c.current = a
+	a.timeout = e.schedule(timeout, func() { e.timedOut(c, a) })
 	e.counts.Sent++
 	e.Trunks.SetUp(to, Attempt{Key: c.Key, Class: c.Class, Number: c.Number, Left: timeout, Width: c.Width,
 		Description: c.Description})
 }
 
-// timedOut gives an attempt up that brought no answer in time. Its core is told first: from then on the
-// release wait runs.
-func (e *Engine) timedOut(c *call, l *attempt) {
-	if c.out != l || l.stands {
+// timedOut ends an attempt that was not answered in time. The release is sent to the core first, since the release wait
+// starts from it.
+func (e *Engine) timedOut(c *call, a *attempt) {
+	if c.current != a || a.stands {
 		return
 	}
-	e.Trunks.Release(l.to, c.Key, NormalClearing)
+	e.Trunks.Release(a.to, c.Key, NormalClearing)
 	e.finishAttempt(c, Outcome{Result: brookmux.ResultTimeout, Report: noReport})
 }
--- a/internal/core/unresolved_test.go
+++ b/internal/core/unresolved_test.go
@@ -11,8 +11,9 @@
 	"brookmux/internal/settings"
 )
 
-// desk is both ends of an engine on a clock of its own: it notes what leaves.
-type desk struct {
+// harness drives an engine on a simulated clock. It is its trunks and, through harnessCaller, its caller, and records
+// what the engine sends.
+type harness struct {
 	*Engine
 	now      time.Duration
 	sent     []brookmux.SwitchID
@@ -22,95 +23,98 @@
 	over     int
 }
 
-func (d *desk) SetUp(to brookmux.SwitchID, _ Attempt)           { d.sent = append(d.sent, to) }
-func (d *desk) Release(to brookmux.SwitchID, _ string, _ Cause) { d.released = append(d.released, to) }
-func (d *desk) ReleaseAnywhere(string, Cause)                   {}
+func (h *harness) SetUp(to brookmux.SwitchID, _ Attempt) { h.sent = append(h.sent, to) }
+func (h *harness) Release(to brookmux.SwitchID, _ string, _ Cause) {
+	h.released = append(h.released, to)
+}
+func (h *harness) ReleaseAnywhere(string, Cause) {}
 
-// asking is the desk's caller side.
-type asking struct{ *desk }
+// harnessCaller is the caller side of a harness.
+type harnessCaller struct{ *harness }
 
-func (a asking) Stands(string, []byte)      { a.stood++ }
-func (a asking) Refuse(_ string, v Verdict) { a.refused = append(a.refused, v) }
-func (a asking) Release(_ string, _ Cause)  { a.over++ }
-func (d *desk) after(step time.Duration)    { d.now += step; d.Step() }
-func (d *desk) normal(elsewhere bool) Outcome {
+func (a harnessCaller) Stands(string, []byte)      { a.stood++ }
+func (a harnessCaller) Refuse(_ string, v Verdict) { a.refused = append(a.refused, v) }
+func (a harnessCaller) Release(_ string, _ Cause)  { a.over++ }
+func (h *harness) advance(step time.Duration)      { h.now += step; h.Step() }
+func (h *harness) normalEnd(elsewhere bool) Outcome {
 	return Outcome{Result: brookmux.ResultOK, Report: noReport, Cause: NormalClearing, Elsewhere: elsewhere}
 }
 
-// newDesk returns a desk with one core and a call whose attempt there was lost with its connection.
-func newDesk(t *testing.T) *desk {
-	d := &desk{now: time.Hour}
-	e, err := New(Config{Trunks: d, Log: slog.New(slog.DiscardHandler),
-		Clock: func() time.Duration { return d.now },
+// newHarness returns a harness with one core and one call, whose first attempt was lost with its connection.
+func newHarness(t *testing.T) *harness {
+	h := &harness{now: time.Hour}
+	e, err := New(Config{Trunks: h, Log: slog.New(slog.DiscardHandler),
+		Clock: func() time.Duration { return h.now },
 		Settings: settings.Settings{ClassNames: []string{"page"}, Module: brookmux.Settings{Instances: 2, MaxAttempts: 6,
 			ReleaseWait: 300 * time.Millisecond,
 			Classes:     []brookmux.Class{{Aim: time.Second, Deadline: 9 * time.Second, Worth: 1}}}}})
 	require.NoError(t, err)
-	d.Engine = e
+	h.Engine = e
 	e.Listed(brookmux.Members{Kind: brookmux.Full, Switches: []brookmux.Switch{{ID: 1, Number: 1, State: brookmux.Ready}}})
 	e.Offer(Request{Key: "a1", Class: "page", Number: "1", Destination: 1, Width: 1, Via: -1, Left: 9 * time.Second,
-		Caller: asking{d}})
-	d.Step()
-	require.Len(t, d.sent, 1)
+		Caller: harnessCaller{h}})
+	h.Step()
+	require.Len(t, h.sent, 1)
 	e.Lost(1, []string{"a1"}, Loss{Outcome: Outcome{Result: brookmux.ResultReset, Report: noReport}})
-	d.Step()
-	d.after(100 * time.Millisecond)
-	require.Len(t, d.sent, 1, "the wait after a reset")
-	return d
+	h.Step()
+	h.advance(100 * time.Millisecond)
+	require.Len(t, h.sent, 1, "the wait after a reset")
+	return h
 }
 
-// TestOverWhileAdrift: an attempt was lost with its connection, with the answer that was on its way there, and
-// its core says on another connection that the call is over. The caller is told at once: in the wait before the
-// next attempt, and when that is out already, which is given up.
-func TestOverWhileAdrift(t *testing.T) {
-	d := newDesk(t)
-	d.Ended(1, "a1", d.normal(false))
-	d.Step()
-	require.Len(t, d.refused, 1, "told at once")
-	d.after(9 * time.Second)
-	require.Len(t, d.sent, 1, "a call that is over is not set up again")
+// TestEndedWhileUnresolved guards against a second set-up of a call that is over: an attempt and its answer are lost
+// with the connection, and the core then releases the call on another connection. The caller must be answered at once,
+// both during the release wait and while the next attempt, which is then released, is open.
+func TestEndedWhileUnresolved(t *testing.T) {
+	h := newHarness(t)
+	h.Ended(1, "a1", h.normalEnd(false))
+	h.Step()
+	require.Len(t, h.refused, 1, "answered at once")
+	h.advance(9 * time.Second)
+	require.Len(t, h.sent, 1, "a call that is over is not set up again")
 
-	d = newDesk(t)
-	d.after(300 * time.Millisecond)
-	require.Len(t, d.sent, 2)
-	d.Ended(1, "a1", d.normal(true))
-	d.Step()
-	require.Len(t, d.refused, 1, "told at once")
-	require.Equal(t, []brookmux.SwitchID{1, 1}, d.released, "the lost attempt is let go of, and the one that is out is given up")
-	d.Answered(1, "a1", nil, noReport)
-	d.after(9 * time.Second)
-	require.Zero(t, d.stood)
-	require.Len(t, d.refused, 1, "one final answer")
-	require.Len(t, d.sent, 2)
-	require.Empty(t, d.calls)
+	h = newHarness(t)
+	h.advance(300 * time.Millisecond)
+	require.Len(t, h.sent, 2)
+	h.Ended(1, "a1", h.normalEnd(true))
+	h.Step()
+	require.Len(t, h.refused, 1, "answered at once")
+	require.Equal(t, []brookmux.SwitchID{1, 1}, h.released, "the lost and the open attempt are released")
+	h.Answered(1, "a1", nil, noReport)
+	h.advance(9 * time.Second)
+	require.Zero(t, h.stood)
+	require.Len(t, h.refused, 1, "one final answer")
+	require.Len(t, h.sent, 2)
+	require.Empty(t, h.calls)
 }
 
-// TestNotOverWhileAdrift: what does not tell that a call stood and is over changes nothing: the end of a set-up
-// elsewhere that was never lost, one from a core that had no attempt, and a refusal that comes late.
-func TestNotOverWhileAdrift(t *testing.T) {
-	d := newDesk(t)
+// TestNotEndedWhileUnresolved checks that messages that do not prove that the call stood and ended leave it open: a
+// late refusal, the end of a call from a core that had no attempt, and the end of a set-up on another connection once
+// the caller has been answered from its second attempt.
+func TestNotEndedWhileUnresolved(t *testing.T) {
+	h := newHarness(t)
 	late := Outcome{Result: brookmux.ResultFull, Report: noReport, Cause: 34}
-	d.Ended(1, "a1", late)
-	d.Ended(2, "a1", d.normal(false))
-	d.Step()
-	require.Empty(t, d.refused)
-	d.after(300 * time.Millisecond)
-	require.Len(t, d.sent, 2)
-	d.Answered(1, "a1", nil, noReport)
-	d.Step()
-	require.Equal(t, 1, d.stood)
-	d.Ended(1, "a1", d.normal(true)) // the caller is on the second
-	d.Step()
-	require.Zero(t, d.over)
-	d.Ended(1, "a1", d.normal(false))
-	d.Step()
-	require.Equal(t, 1, d.over)
-	require.Empty(t, d.calls)
+	h.Ended(1, "a1", late)
+	h.Ended(2, "a1", h.normalEnd(false))
+	h.Step()
+	require.Empty(t, h.refused)
+	h.advance(300 * time.Millisecond)
+	require.Len(t, h.sent, 2)
+	h.Answered(1, "a1", nil, noReport)
+	h.Step()
+	require.Equal(t, 1, h.stood)
+	h.Ended(1, "a1", h.normalEnd(true)) // the caller is connected through the second attempt
+	h.Step()
+	require.Zero(t, h.over)
+	h.Ended(1, "a1", h.normalEnd(false))
+	h.Step()
+	require.Equal(t, 1, h.over)
+	require.Empty(t, h.calls)
 }
 
-// TestLostSetUpIsLetGo: a set-up that is lost with its connection may stand at its core, unheard. The core has to be told
-// to let go of it, or its end becomes a release of the call's next attempt once this process has been restarted.
+// TestLostSetUpIsLetGo: a set-up that is lost with its connection may stand at its core with its answer lost. It must
+// be released there, or its later end is taken for the end of the call's next attempt once this process has restarted.
 func TestLostSetUpIsLetGo(t *testing.T) {
-	d := newDesk(t)
-	require.Equal(t, []brookmux.SwitchID{1}, d.released)
+	h := newHarness(t)
+	require.Equal(t, []brookmux.SwitchID{1}, h.released)
 }
