--- a/internal/liveness/lease.go
+++ b/internal/liveness/lease.go
@@ -1,10 +1,11 @@
 // Package liveness decides whether the process that holds the calls standing on a core is still alive. It does no I/O,
-// starts no goroutine and reads no clock: its owner reports what the core's connections bring and calls Tick often.
+// starts no goroutine and reads no clock: the caller reports the events of the core's connections and calls Tick
+// periodically.
 //
-// Calls that stand hold a lease on the process that answered them. The lease is renewed by word of that process, and
-// by nothing else. A process that is silent is checked on a new connection; the core's address alone proves nothing,
-// as another process may listen there by now. A lease that is not renewed expires, whether or not anything is ever
-// sent to the core, and the calls are over.
+// Calls that stand hold a lease on the process that answered them. Only evidence that this process is alive renews the
+// lease, such as a message or an orderly close of a connection. An unresponsive process is checked by opening a new
+// connection. That the core's address accepts connections proves nothing, because another process may have started to
+// listen there. A lease that is not renewed expires, whether or not anything is sent to the core, and its calls end.
 package liveness
 
 import (
@@ -13,184 +14,191 @@
 	"time"
 )
 
-// The times of a lease. A call has to be released within 8 s of its end (protocol page, "The rules on sockets").
+// Lease timing. A call has to be released within 8 s of its end (protocol page, "The rules on sockets").
 const (
-	// Length is how long after the last word of a process its calls are given up. It leaves 0.6 s for the release.
-	Length = 7400 * time.Millisecond
-	// CheckAfter is how long a process with calls may be silent before it is checked. The shorter, the longer a core
-	// that comes back is waited for: Length less CheckAfter at least.
+	// LeaseDuration is the time after the last sign of life of a process at which its calls are abandoned. It leaves
+	// 0.6 s of the 8 s for the release.
+	LeaseDuration = 7400 * time.Millisecond
+	// CheckAfter is how long a process with calls may send nothing before it is checked. A core that becomes unreachable
+	// has at least LeaseDuration-CheckAfter to come back; a smaller CheckAfter gives it more time.
 	CheckAfter = time.Second
-	// CheckEvery is the time between two checks while no word comes.
-	CheckEvery = 500 * time.Millisecond
-	// ProofWithin is how long a process may take to release the calls that have ended while it could not be reached.
-	ProofWithin = time.Second
-	// GreetWithin is how long a new connection may bring nothing before another is opened.
-	GreetWithin = 2 * time.Second
-	// settled is how long a call has to stand before the group's state is sure to count it.
-	settled = time.Second
-	// refusedFor is how long dials have to be refused until a process that closed its connections is taken for dead.
-	refusedFor = time.Second
-	// lostShare is the share of a process's calls that may be missing from its states.
-	lostShare = 0.25
-	// distrustAfter is how long a state may contradict the calls of a process that is alive before states count no
-	// more.
+	// CheckInterval is the time between two checks while the process stays unresponsive.
+	CheckInterval = 500 * time.Millisecond
+	// ReleaseGrace is how long a process may take to release the calls that ended while it was unreachable.
+	ReleaseGrace = time.Second
+	// FirstMessageTimeout is how long a new connection may stay without a message before another one is opened.
+	FirstMessageTimeout = 2 * time.Second
+	// settleTime is how long a call has to stand before the group's state is certain to count it.
+	settleTime = time.Second
+	// minRefusedTime is how long dials have to be refused before a process that closed its connections in order counts
+	// as dead.
+	minRefusedTime = time.Second
+	// maxMissingShare is the share of a process's circuits in calls that may be missing from its group states.
+	maxMissingShare = 0.25
+	// distrustAfter is how long the group states may contradict the calls of a live process before they are no longer
+	// used as evidence.
 	distrustAfter = 2 * time.Second
 )
 
-// ConnectionID names a connection to the core. It is never used twice.
+// ConnectionID identifies a connection to the core. Values increase in the order of opening and are never reused.
 type ConnectionID uint64
 
-// Reason says why calls are given up.
+// Reason is why the calls of a process are abandoned.
 type Reason string
 
-// The reasons.
+// Reasons for abandoning calls.
 const (
 	ReasonSilent   Reason = "silent"   // the lease has expired
-	ReasonRefused  Reason = "refused"  // nothing listens at the address any more
-	ReasonReplaced Reason = "replaced" // the address leads to a process that does not have the calls
+	ReasonRefused  Reason = "refused"  // nothing listens at the address
+	ReasonReplaced Reason = "replaced" // the process at the address does not have the calls
 )
 
-// End is how a connection ended.
+// End is the way a connection ended.
 type End int
 
-// The ends of a connection.
+// Ways a connection ends.
 const (
-	EndLocal  End = iota // closed by this side, or lost without a sign
-	EndClosed            // closed by the core in order: its process was alive
-	EndReset             // reset: its process may have died
+	EndLocal  End = iota // closed by this side, or lost without a signal from the core
+	EndClosed            // closed by the core in order, which shows that its process was alive
+	EndReset             // reset, so the core's process may have died
 )
 
-// Message is what counts of a message from the core.
+// Message is the part of a message from the core that is evidence of a process and its calls.
 type Message struct {
 	GroupState bool
-	Free, Size float64 // circuits, with GroupState; Size is negative where it was not told
-	Call       string  // that it names, if any
+	Free, Size float64 // in circuits, valid with GroupState; Size is negative if the message does not report it
+	Call       string  // key of the call that the message names, or empty
 }
 
-// Expiry lists calls that are over.
+// Expiry lists the calls of one process that are abandoned.
 type Expiry struct {
 	Calls  []string
 	Reason Reason
-	Silent time.Duration // since the last word of their process
+	Silent time.Duration // time since the last sign of life of their process
 }
 
-// Decision is what Tick asks for.
+// Decision is the set of actions that Tick requires of the caller.
 type Decision struct {
 	Expired []Expiry
-	// Check asks for a new connection. It may take the place of one of Idle, which carry no calls; with Prove, of one of
-	// Silent, which do: whether the core closes it as well tells whether it is the process that has the calls.
+	// Check requests a new connection. It may replace one of Idle, which carry no calls, or with Prove one of Silent,
+	// which carry calls of the unresponsive process: if the core closes its side too, it is the process that has them.
 	Check  bool
 	Prove  bool
-	Idle   []ConnectionID // the longest open first
+	Idle   []ConnectionID // oldest first
 	Silent []ConnectionID
 }
 
-// call is a call that stands.
+// call is an answered call that has not ended.
 type call struct {
-	on    ConnectionID // of its set-up: a core sends there what concerns it
-	width float64
-	since time.Duration
+	connectionID ConnectionID // connection of its set-up, on which a core sends the messages of the call
+	width        float64
+	answeredAt   time.Duration
 }
 
-// setUp is a set-up that is open.
-type setUp struct {
-	on    ConnectionID
-	width float64
+// pendingSetUp is a set-up without a final answer.
+type pendingSetUp struct {
+	connectionID ConnectionID
+	width        float64
 }
 
-// connection is an open connection.
+// connection is the state of an open connection.
 type connection struct {
-	process *process
-	opened  time.Duration
-	heard   bool // its process has shown itself on it
-	spoke   bool // a message has come
-	retired bool // closed to the core
+	process   *process
+	openedAt  time.Duration
+	seenAlive bool // evidence that its process is alive arrived on it
+	received  bool // at least one message was received
+	retired   bool // closed by this side; the core has to close it too
 }
 
-// process is what is known of one process at the core's address.
+// process is the known state of one process at the core's address. Two records are merged when evidence shows that they
+// are the same process.
 type process struct {
-	aliveAt     time.Duration // of the last word
-	heard       bool
-	connections map[ConnectionID]*connection
-	calls       map[string]call
-	outage      bool // since the last word, a check has failed
-	closed      bool // the last connection was closed in order
-	used        float64
-	usedKnown   bool
-	denied      *denial
-	doubtSince  time.Duration // of its own states, 0 for none
-}
-
-// denial is a state of a later process in which circuits were free that an earlier one's calls would take.
-type denial struct {
-	at   time.Duration
-	room float64 // circuits in use beside those of the later one's own calls
-}
-
-// Lease is the state of one core. The zero value is not usable; use New.
+	lastAliveAt       time.Duration // last sign of life
+	seenAlive         bool
+	connections       map[ConnectionID]*connection
+	calls             map[string]call
+	checkFailed       bool // a check has failed since the last sign of life
+	closedInOrder     bool // the last connection to end was closed in order by the core
+	used              float64
+	usedKnown         bool
+	contradiction     *stateContradiction
+	contradictedSince time.Duration // since when its own group states contradict its calls, 0 if they agree
+}
+
+// stateContradiction is a group state of a later process with too few circuits in use to include the calls of an
+// earlier one.
+type stateContradiction struct {
+	at           time.Duration
+	unattributed float64 // circuits in use that the later process's own calls do not account for
+}
+
+// Lease tracks the processes, connections and standing calls of one core. The zero value is not usable; use New. A
+// Lease is not safe for concurrent use. All times are on one clock of the caller.
 type Lease struct {
-	processes    []*process // by the time of their first connection; the last is at the address now
-	connections  map[ConnectionID]*connection
-	pending      map[string]setUp // by call
-	greets       bool             // new connections begin with the group's state
-	truthful     bool             // states were seen to count the calls that stand
-	distrusted   bool             // states were seen not to
-	checkedAt    time.Duration
-	refusedSince time.Duration // 0 while dials are not refused
+	processes        []*process // ordered by first connection; the last one is at the address now
+	connections      map[ConnectionID]*connection
+	pending          map[string]pendingSetUp // by call key
+	stateOnConnect   bool                    // the core begins new connections with its group state
+	statesVerified   bool                    // the group states have been observed to count the standing calls
+	statesDistrusted bool                    // the group states have been observed not to count them
+	lastCheckAt      time.Duration
+	refusedSince     time.Duration // since when all dials are refused, 0 if they are not
 }
 
-// New returns a Lease of a core without connections or calls.
+// New returns a Lease for a core without connections or calls.
 func New() *Lease {
-	return &Lease{connections: map[ConnectionID]*connection{}, pending: map[string]setUp{}}
+	return &Lease{connections: map[ConnectionID]*connection{}, pending: map[string]pendingSetUp{}}
 }
 
-// Connected reports a new connection.
+// Connected records a new connection. While calls stand, the connection gets a process of its own until evidence shows
+// which process it leads to. If the core is not known to begin connections with its group state, the connection itself
+// counts as a sign of life.
 func (l *Lease) Connected(id ConnectionID, now time.Duration) {
 	l.refusedSince = 0
-	p := &process{connections: map[ConnectionID]*connection{}, calls: map[string]call{}, aliveAt: now}
+	p := &process{connections: map[ConnectionID]*connection{}, calls: map[string]call{}, lastAliveAt: now}
 	if l.Calls() == 0 && len(l.processes) > 0 {
-		p = l.processes[len(l.processes)-1] // nothing can be confused
-		p.aliveAt = now
+		p = l.processes[len(l.processes)-1] // without calls there is nothing to attribute
+		p.lastAliveAt = now
 	} else {
 		l.processes = append(l.processes, p)
 	}
-	c := &connection{process: p, opened: now}
+	c := &connection{process: p, openedAt: now}
 	p.connections[id], l.connections[id] = c, c
-	if !l.greets {
-		l.word(c, now)
+	if !l.stateOnConnect {
+		l.renew(c, now)
 	}
 }
 
-// Heard reports a whole message from the core.
+// Heard records a complete message from the core. Messages of connections that have ended are ignored.
 func (l *Lease) Heard(id ConnectionID, now time.Duration, m Message) {
 	c := l.connections[id]
 	if c == nil {
 		return
 	}
-	first := !c.spoke
-	c.spoke = true
-	l.greets = l.greets || first && m.GroupState
-	told := m.GroupState && m.Size >= 0
-	if told {
+	first := !c.received
+	c.received = true
+	l.stateOnConnect = l.stateOnConnect || first && m.GroupState
+	reportsCircuits := m.GroupState && m.Size >= 0
+	if reportsCircuits {
 		c.process.used, c.process.usedKnown = m.Size-m.Free, true
 	}
-	l.word(c, now)
+	l.renew(c, now)
 	if m.Call != "" {
-		l.named(c.process, m.Call)
+		l.evaluateCall(c.process, m.Call)
 	}
-	if told {
-		l.audit(c.process, now)
+	if reportsCircuits {
+		l.evaluateState(c.process, now)
 	}
 }
 
-// word renews the lease of a connection's process. Later processes that were heard are the same one: it is alive after
-// they were reached at its address.
-func (l *Lease) word(c *connection, now time.Duration) {
-	c.heard = true
+// renew records a sign of life of a connection's process. Later processes that were seen alive are the same process,
+// because this one is still alive after they were reached at its address.
+func (l *Lease) renew(c *connection, now time.Duration) {
+	c.seenAlive = true
 	p := c.process
-	p.heard, p.aliveAt, p.outage = true, now, false
-	for _, later := range l.after(p) {
-		if later.heard {
+	p.seenAlive, p.lastAliveAt, p.checkFailed = true, now, false
+	for _, later := range l.laterProcesses(p) {
+		if later.seenAlive {
 			l.merge(p, later)
 		}
 	}
@@ -198,17 +206,17 @@
 		if earlier == p {
 			return
 		}
-		l.prove(earlier, now)
+		l.tryMerge(earlier, now)
 	}
 }
 
-// after lists the processes later than one.
-func (l *Lease) after(p *process) []*process {
-	at := slices.Index(l.processes, p)
-	return slices.Clone(l.processes[at+1:])
+// laterProcesses returns the processes that follow p, in order.
+func (l *Lease) laterProcesses(p *process) []*process {
+	index := slices.Index(l.processes, p)
+	return slices.Clone(l.processes[index+1:])
 }
 
-// merge takes two processes for one.
+// merge combines two processes that are the same into one.
 func (l *Lease) merge(into, from *process) {
 	for id, c := range from.connections {
 		c.process = into
@@ -217,109 +225,112 @@
 	for id, k := range from.calls {
 		into.calls[id] = k
 	}
-	into.aliveAt = max(into.aliveAt, from.aliveAt)
-	into.heard = into.heard || from.heard
-	into.outage, into.denied = false, nil
+	into.lastAliveAt = max(into.lastAliveAt, from.lastAliveAt)
+	into.seenAlive = into.seenAlive || from.seenAlive
+	into.checkFailed, into.contradiction = false, nil
 	if from.usedKnown {
 		into.used, into.usedKnown = from.used, true
 	}
 	l.processes = slices.DeleteFunc(l.processes, func(p *process) bool { return p == from })
 }
 
-// named takes a core's word on a call: whoever knows it is the process that answered it.
-func (l *Lease) named(by *process, id string) {
+// evaluateCall handles a message that names a call. Its sender is the process that answered the call.
+func (l *Lease) evaluateCall(sender *process, id string) {
 	for _, p := range slices.Clone(l.processes) {
-		if _, ok := p.calls[id]; ok && p != by {
-			l.merge(p, by)
+		if _, ok := p.calls[id]; ok && p != sender {
+			l.merge(p, sender)
 			return
 		}
 	}
 }
 
-// audit compares a group's state with the calls that stood on earlier processes. A process that counts them has them;
-// one with fewer circuits in use than they take has not, unless their releases are still to come.
-func (l *Lease) audit(by *process, now time.Duration) {
-	if !l.counts() {
+// evaluateState compares the sender's group state with the calls that stand on earlier processes. A sender whose state
+// includes them is the process that has them. A sender with fewer circuits in use than they take is another process,
+// unless releases of these calls are still to arrive.
+func (l *Lease) evaluateState(sender *process, now time.Duration) {
+	if !l.statesReliable() {
 		return
 	}
-	for _, p := range slices.Backward(slices.Clone(l.processes[:slices.Index(l.processes, by)])) {
-		width := p.width(now - settled)
+	for _, p := range slices.Backward(slices.Clone(l.processes[:slices.Index(l.processes, sender)])) {
+		width := p.width(now - settleTime)
 		switch {
 		case width == 0:
-		case by.used-by.width(now-settled) < required(width):
-			if p.denied == nil {
-				p.denied = &denial{at: now, room: by.used - by.width(now-settled)}
+		case sender.used-sender.width(now-settleTime) < minInUse(width):
+			if p.contradiction == nil {
+				p.contradiction = &stateContradiction{at: now, unattributed: sender.used - sender.width(now-settleTime)}
 			}
-		case by.used >= required(width)+l.widthAfter(p, now):
-			l.merge(p, by)
-			by = p // has the states and the calls of both
+		case sender.used >= minInUse(width)+l.laterWidth(p, now):
+			l.merge(p, sender)
+			sender = p // holds the states and the calls of both
 		}
 	}
 }
 
-// required is how many circuits have to be in use for calls of a width to stand. Of many calls a few may have ended and
-// their releases been lost: that is no sign of another process.
-func required(width float64) float64 { return width - math.Floor(width*lostShare) }
+// minInUse returns the minimum number of circuits in use at which calls of the given width can stand. Of many calls, a
+// few may have ended with their releases lost, which does not indicate another process.
+func minInUse(width float64) float64 { return width - math.Floor(width*maxMissingShare) }
 
-// SetUpSent reports that a set-up is open on a connection; it takes circuits of the process there from then on.
-func (l *Lease) SetUpSent(id string, width float64, on ConnectionID) {
-	l.pending[id] = setUp{on: on, width: max(1, width)}
+// SetUpSent records that a set-up of the given width, in circuits, was sent on a connection. From then on it may take
+// circuits of the process there.
+func (l *Lease) SetUpSent(id string, width float64, connectionID ConnectionID) {
+	l.pending[id] = pendingSetUp{connectionID: connectionID, width: max(1, width)}
 }
 
-// SetUpOver reports that a set-up is open no more.
+// SetUpOver records that a set-up is no longer pending.
 func (l *Lease) SetUpOver(id string) { delete(l.pending, id) }
 
-// widthAfter is how many circuits may be taken by what was set up on later processes than one. What is open on its own
-// connections, or on those of earlier ones, reached none of them.
-func (l *Lease) widthAfter(p *process, now time.Duration) float64 {
-	sum := l.pendingAfter(p)
-	for _, later := range l.after(p) {
+// laterWidth returns the maximum number of circuits taken by calls and set-ups on processes that follow p. Set-ups on
+// connections of p or of earlier processes did not reach them.
+func (l *Lease) laterWidth(p *process, now time.Duration) float64 {
+	sum := l.laterPendingWidth(p)
+	for _, later := range l.laterProcesses(p) {
 		sum += later.width(now)
 	}
 	return sum
 }
 
-// pendingAfter is how many circuits the set-ups may take that are open on later processes than one.
-func (l *Lease) pendingAfter(p *process) float64 {
-	later := l.after(p)
+// laterPendingWidth returns the maximum number of circuits taken by pending set-ups on processes that follow p. Set-ups
+// on connections that have ended are included, as their process is unknown.
+func (l *Lease) laterPendingWidth(p *process) float64 {
+	later := l.laterProcesses(p)
 	sum := 0.0
 	for _, s := range l.pending {
-		if c := l.connections[s.on]; c == nil || slices.Contains(later, c.process) {
+		if c := l.connections[s.connectionID]; c == nil || slices.Contains(later, c.process) {
 			sum += s.width
 		}
 	}
 	return sum
 }
 
-// width is how many circuits the calls take that stood before a time.
+// width returns the number of circuits of the calls that were answered at or before a time.
 func (p *process) width(before time.Duration) float64 {
 	sum := 0.0
 	for _, k := range p.calls {
-		if k.since <= before {
+		if k.answeredAt <= before {
 			sum += k.width
 		}
 	}
 	return sum
 }
 
-// Retired reports that a connection was closed to the core, which has to close it as well.
+// Retired records that this side closed a connection. The core has to close it too.
 func (l *Lease) Retired(id ConnectionID) {
 	if c := l.connections[id]; c != nil {
 		c.retired = true
 	}
 }
 
-// Disconnected reports the end of a connection.
-func (l *Lease) Disconnected(id ConnectionID, now time.Duration, how End) {
+// Disconnected records the end of a connection.
+func (l *Lease) Disconnected(id ConnectionID, now time.Duration, end End) {
 	c := l.connections[id]
 	if c == nil {
 		return
 	}
-	if how == EndClosed {
-		l.word(c, now)
+	if end == EndClosed {
+		l.renew(c, now)
 	}
 	p := c.process
-	p.closed = how == EndClosed
+	p.closedInOrder = end == EndClosed
 	delete(p.connections, id)
 	delete(l.connections, id)
 	if len(p.connections) == 0 && len(p.calls) == 0 && p != l.newest() {
@@ -333,53 +344,53 @@
 	l.processes = slices.DeleteFunc(l.processes, func(q *process) bool { return q == p })
 }
 
-// DialFailed reports that a connection did not come up.
+// DialFailed records a failed connection attempt; refused says whether the core's host refused it.
 func (l *Lease) DialFailed(now time.Duration, refused bool) {
 	for _, p := range l.processes {
-		p.outage = p.outage || now-p.aliveAt >= CheckAfter
+		p.checkFailed = p.checkFailed || now-p.lastAliveAt >= CheckAfter
 	}
 	switch {
-	case !refused || len(l.connections) > 0: // where connections are up, a core may refuse further ones
+	case !refused || len(l.connections) > 0: // a core may refuse further connections while some are open
 		l.refusedSince = 0
 	case l.refusedSince == 0:
 		l.refusedSince = max(1, now)
 	}
 }
 
-// Stands reports that a call stands, answered on a connection.
-func (l *Lease) Stands(id string, width float64, on ConnectionID, now time.Duration) {
+// Stands records that a call of the given width, in circuits, was answered on a connection.
+func (l *Lease) Stands(id string, width float64, connectionID ConnectionID, now time.Duration) {
 	var p *process
-	switch c := l.connections[on]; {
+	switch c := l.connections[connectionID]; {
 	case c != nil:
 		p = c.process
-	case len(l.processes) > 0: // it ended while the answer was on its way
+	case len(l.processes) > 0: // the connection ended while the answer was in transit
 		p = l.newest()
 	default:
-		p = &process{connections: map[ConnectionID]*connection{}, calls: map[string]call{}, aliveAt: now}
+		p = &process{connections: map[ConnectionID]*connection{}, calls: map[string]call{}, lastAliveAt: now}
 		l.processes = append(l.processes, p)
 	}
-	p.calls[id] = call{on: on, width: max(1, width), since: now}
+	p.calls[id] = call{connectionID: connectionID, width: max(1, width), answeredAt: now}
 }
 
-// Over reports that a call is over.
+// Over records the end of a call.
 func (l *Lease) Over(id string) {
 	for _, p := range l.processes {
 		delete(p.calls, id)
 	}
 }
 
-// OverBefore forgets the calls that stood before a time, as their process was started anew since.
+// OverBefore drops the calls answered before a time, because the core's process has restarted since.
 func (l *Lease) OverBefore(at time.Duration) {
 	for _, p := range l.processes {
 		for id, k := range p.calls {
-			if k.since < at {
+			if k.answeredAt < at {
 				delete(p.calls, id)
 			}
 		}
 	}
 }
 
-// Calls is how many calls stand.
+// Calls returns the number of standing calls.
 func (l *Lease) Calls() int {
 	n := 0
 	for _, p := range l.processes {
@@ -388,7 +399,7 @@
 	return n
 }
 
-// Tick makes the decisions that are due. It has to be called at least every 100 ms, whatever happens.
+// Tick returns the decisions that are due. It has to be called at least every 100 ms, whether or not events arrive.
 func (l *Lease) Tick(now time.Duration) Decision {
 	var d Decision
 	if l.Calls() == 0 {
@@ -398,13 +409,13 @@
 		if len(p.calls) == 0 {
 			continue
 		}
-		l.examine(p, now)
-		if reason := l.over(p, now); reason != "" {
+		l.verifyStates(p, now)
+		if reason := l.expiryReason(p, now); reason != "" {
 			d.Expired = append(d.Expired, p.expire(reason, now))
 			continue
 		}
-		l.prove(p, now)
-		l.check(p, now, &d)
+		l.tryMerge(p, now)
+		l.requestCheck(p, now, &d)
 	}
 	for _, p := range slices.Clone(l.processes) {
 		if len(p.calls) == 0 && len(p.connections) == 0 && p != l.newest() {
@@ -414,85 +425,89 @@
 	return d
 }
 
-// examine learns whether the core's states count its calls, while there is no doubt about who sends them.
-func (l *Lease) examine(p *process, now time.Duration) {
-	width := p.width(now - settled)
-	if p != l.newest() || len(l.processes) > 1 || !p.usedKnown || width == 0 || now-p.aliveAt > CheckAfter+CheckEvery {
+// verifyStates determines whether the core's group states count its calls, as long as it is certain which process sends
+// them.
+func (l *Lease) verifyStates(p *process, now time.Duration) {
+	width := p.width(now - settleTime)
+	if p != l.newest() || len(l.processes) > 1 || !p.usedKnown || width == 0 ||
+		now-p.lastAliveAt > CheckAfter+CheckInterval {
 		return
 	}
 	if p.used >= width {
-		p.doubtSince, l.truthful = 0, true
+		p.contradictedSince, l.statesVerified = 0, true
 		return
 	}
-	if p.doubtSince == 0 {
-		p.doubtSince = now
+	if p.contradictedSince == 0 {
+		p.contradictedSince = now
 	}
-	l.distrusted = l.distrusted || now-p.doubtSince >= distrustAfter
+	l.statesDistrusted = l.statesDistrusted || now-p.contradictedSince >= distrustAfter
 }
 
-// over tells why the calls of a process are over, or returns "".
-func (l *Lease) over(p *process, now time.Duration) Reason {
+// expiryReason returns why the calls of a process have to be abandoned, or "" if they stand.
+func (l *Lease) expiryReason(p *process, now time.Duration) Reason {
 	refused := l.refusedSince > 0 && len(l.connections) == 0
 	switch {
-	case refused && (!p.closed || now-l.refusedSince >= refusedFor):
+	case refused && (!p.closedInOrder || now-l.refusedSince >= minRefusedTime):
 		return ReasonRefused
 	case p.lacksCalls(now):
 		return ReasonReplaced
-	case now-p.aliveAt >= Length:
+	case now-p.lastAliveAt >= LeaseDuration:
 		return ReasonSilent
 	}
 	return ""
 }
 
-// lacksCalls tells whether a later process was seen not to have the calls of this one, and has had time to release those
-// that have ended.
+// lacksCalls reports whether a later process has shown that it does not have the calls of this one, and has had time to
+// release those that have ended.
 func (p *process) lacksCalls(now time.Duration) bool {
-	return p.denied != nil && now-p.denied.at >= ProofWithin && required(p.width(p.denied.at-settled)) > p.denied.room
+	return p.contradiction != nil && now-p.contradiction.at >= ReleaseGrace &&
+		minInUse(p.width(p.contradiction.at-settleTime)) > p.contradiction.unattributed
 }
 
-// expire takes the calls off a process.
+// expire removes the calls of a process and returns them as an Expiry.
 func (p *process) expire(reason Reason, now time.Duration) Expiry {
-	e := Expiry{Reason: reason, Silent: now - p.aliveAt}
+	e := Expiry{Reason: reason, Silent: now - p.lastAliveAt}
 	for id := range p.calls {
 		e.Calls = append(e.Calls, id)
 	}
 	slices.Sort(e.Calls)
 	clear(p.calls)
-	p.denied = nil
+	p.contradiction = nil
 	return e
 }
 
-// prove takes a later process for the same one where nothing speaks against it: no check has failed, and states don't
-// tell. That its connections are silent is no sign: a core with nothing to say says nothing.
-func (l *Lease) prove(p *process, now time.Duration) {
+// tryMerge merges p with a later process that was seen alive if there is no evidence against it: no check has failed
+// and the group states cannot decide. The absence of messages on the connections of p is no such evidence, because an
+// idle core sends nothing.
+func (l *Lease) tryMerge(p *process, now time.Duration) {
 	if p.lacksCalls(now) {
-		return // its calls are over with the next Tick
+		return // the next Tick expires its calls
 	}
-	released := p.denied != nil && now-p.denied.at >= ProofWithin // the rest has been released since
-	if released {
-		p.denied = nil
+	releasesDone := p.contradiction != nil && now-p.contradiction.at >= ReleaseGrace // the missing calls were released
+	if releasesDone {
+		p.contradiction = nil
 	}
-	for _, later := range l.after(p) {
-		told := l.counts() && later.usedKnown && p.width(now-settled) > 0
-		if later.heard && (released || !told && !p.outage && p.denied == nil) {
+	for _, later := range l.laterProcesses(p) {
+		stateDecides := l.statesReliable() && later.usedKnown && p.width(now-settleTime) > 0
+		if later.seenAlive && (releasesDone || !stateDecides && !p.checkFailed && p.contradiction == nil) {
 			l.merge(p, later)
 			return
 		}
 	}
 }
 
-// counts tells whether the core's states are known to count the calls that stand.
-func (l *Lease) counts() bool { return l.truthful && !l.distrusted }
+// statesReliable reports whether the core's group states are known to count the standing calls.
+func (l *Lease) statesReliable() bool { return l.statesVerified && !l.statesDistrusted }
 
-// check asks for a new connection where a process is silent and one could tell more.
-func (l *Lease) check(p *process, now time.Duration, d *Decision) {
-	if now-p.aliveAt < CheckAfter || now-l.checkedAt < CheckEvery {
+// requestCheck requests a new connection if a process is unresponsive and a connection could give more evidence.
+func (l *Lease) requestCheck(p *process, now time.Duration, d *Decision) {
+	if now-p.lastAliveAt < CheckAfter || now-l.lastCheckAt < CheckInterval {
 		return
 	}
 	carrying := map[ConnectionID]bool{}
 	for _, q := range l.processes {
 		for _, k := range q.calls {
-			carrying[k.on] = true
+			carrying[k.connectionID] = true
 		}
 	}
 	for id, c := range l.connections {
@@ -506,24 +521,25 @@
 	}
 	slices.Sort(d.Idle)
 	slices.Sort(d.Silent)
-	d.Prove = p != l.newest() && !l.counts() && len(d.Silent) > 0
-	if p != l.newest() && !d.Prove && l.reached(now) && !l.undecided(p) {
-		return // the process there now has spoken, or has still time to
+	d.Prove = p != l.newest() && !l.statesReliable() && len(d.Silent) > 0
+	if p != l.newest() && !d.Prove && l.newestResponding(now) && !l.stateInconclusive(p) {
+		return // the process at the address has sent a message, or still has time to
 	}
-	l.checkedAt = now
+	l.lastCheckAt = now
 	d.Check = true
 }
 
-// undecided tells whether the states of the process at the address have not shown if it has the calls of an earlier one,
-// as set-ups were open, and would now: there are none any more.
-func (l *Lease) undecided(p *process) bool {
-	return l.counts() && l.newest().usedKnown && p.denied == nil && l.pendingAfter(p) == 0
+// stateInconclusive reports whether the states of the process at the address left open, because of pending set-ups,
+// whether it has the calls of p, and a new state would decide it, as no set-up is pending.
+func (l *Lease) stateInconclusive(p *process) bool {
+	return l.statesReliable() && l.newest().usedKnown && p.contradiction == nil && l.laterPendingWidth(p) == 0
 }
 
-// reached tells whether the process at the address now was heard, or has still time to greet.
-func (l *Lease) reached(now time.Duration) bool {
+// newestResponding reports whether the process at the address was seen alive recently, or still has time to send its
+// first message.
+func (l *Lease) newestResponding(now time.Duration) bool {
 	for _, c := range l.newest().connections {
-		if c.heard && now-l.newest().aliveAt < GreetWithin || now-c.opened < GreetWithin {
+		if c.seenAlive && now-l.newest().lastAliveAt < FirstMessageTimeout || now-c.openedAt < FirstMessageTimeout {
 			return true
 		}
 	}
--- a/internal/liveness/lease_test.go
+++ b/internal/liveness/lease_test.go
@@ -9,31 +9,32 @@
 )
 
 const (
-	tick  = 50 * time.Millisecond
-	start = time.Hour // of the tests' clock
+	tick      = 50 * time.Millisecond
+	startTime = time.Hour // initial reading of the simulated clock
 )
 
-// core plays a core with a group of 100 circuits on a clock of its own. Its address leads to one process at a time.
+// core simulates a core with a group of 100 circuits on its own clock. One process at a time listens at its address.
 type core struct {
 	t     *testing.T
 	lease *Lease
 	now   time.Duration
 
-	up        bool // new connections come up
-	refuses   bool
-	used      float64
-	states    bool // new connections begin with the group's state
-	closes    bool // connections that were closed to it are closed by it as well
-	next      ConnectionID
-	open      map[ConnectionID]bool // held by the process at the address
-	dials     int
-	expired   map[string]Reason
-	expiredAt time.Duration
+	acceptsDials    bool // connection attempts succeed
+	refusesDials    bool // connection attempts that fail are refused
+	used            float64
+	statesOnConnect bool // new connections begin with the group's state
+	closesRetired   bool // the core closes its side of retired connections
+	lastID          ConnectionID
+	open            map[ConnectionID]bool // connections of the process at the address
+	dials           int
+	expired         map[string]Reason
+	expiredAt       time.Duration
 }
 
-// newCore returns a core with three connections and two calls, on the first and the second, that have stood for 2 s.
+// newCore returns a core with three connections and two calls, on the first and the second, answered 2 s ago.
 func newCore(t *testing.T) *core {
-	c := &core{t: t, lease: New(), now: start, up: true, states: true, closes: true, open: map[ConnectionID]bool{}, expired: map[string]Reason{}}
+	c := &core{t: t, lease: New(), now: startTime, acceptsDials: true, statesOnConnect: true, closesRetired: true,
+		open: map[ConnectionID]bool{}, expired: map[string]Reason{}}
 	for range 3 {
 		c.dial()
 	}
@@ -42,7 +43,7 @@
 		c.lease.Heard(id, c.now, c.state())
 		c.lease.Stands(fmt.Sprint("call", i), 1, id, c.now)
 	}
-	c.pass(2 * time.Second)
+	c.advance(2 * time.Second)
 	require.Empty(t, c.expired)
 	return c
 }
@@ -51,20 +52,20 @@
 
 func (c *core) dial() {
 	c.dials++
-	if !c.up {
-		c.lease.DialFailed(c.now, c.refuses)
+	if !c.acceptsDials {
+		c.lease.DialFailed(c.now, c.refusesDials)
 		return
 	}
-	c.next++
-	c.lease.Connected(c.next, c.now)
-	c.open[c.next] = true
-	if c.states {
-		c.lease.Heard(c.next, c.now, c.state())
+	c.lastID++
+	c.lease.Connected(c.lastID, c.now)
+	c.open[c.lastID] = true
+	if c.statesOnConnect {
+		c.lease.Heard(c.lastID, c.now, c.state())
 	}
 }
 
-// pass lets time pass, with what the lease asks for carried out.
-func (c *core) pass(d time.Duration) {
+// advance moves the clock forward and carries out the decisions of the lease.
+func (c *core) advance(d time.Duration) {
 	for until := c.now + d; c.now < until; {
 		c.now += tick
 		decision := c.lease.Tick(c.now)
@@ -75,48 +76,49 @@
 			}
 		}
 		if decision.Check {
-			c.check(decision)
+			c.replaceConnection(decision)
 		}
 	}
 }
 
-func (c *core) check(d Decision) {
-	before := c.next
+// replaceConnection opens a connection and retires one that the decision offers.
+func (c *core) replaceConnection(d Decision) {
+	previous := c.lastID
 	c.dial()
 	retire := append(d.Idle, d.Silent...)
 	if d.Prove {
 		retire = append(d.Silent, d.Idle...)
 	}
-	if c.next == before || len(retire) == 0 {
+	if c.lastID == previous || len(retire) == 0 {
 		return
 	}
 	c.lease.Retired(retire[0])
-	if c.closes && c.open[retire[0]] {
+	if c.closesRetired && c.open[retire[0]] {
 		c.lease.Disconnected(retire[0], c.now, EndClosed)
 	}
 }
 
-// vanish takes the process away: its connections stay open and silent.
-func (c *core) vanish() { c.up, c.open = false, map[ConnectionID]bool{} }
+// disappear removes the process. Its connections stay open and bring nothing.
+func (c *core) disappear() { c.acceptsDials, c.open = false, map[ConnectionID]bool{} }
 
-// lose ends all connections.
-func (c *core) lose(how End) {
+// disconnectAll ends all connections.
+func (c *core) disconnectAll(end End) {
 	for id := range c.lease.connections {
-		c.lease.Disconnected(id, c.now, how)
+		c.lease.Disconnected(id, c.now, end)
 	}
 	c.open = map[ConnectionID]bool{}
 }
 
 func TestQuietCoreIsKept(t *testing.T) {
-	for _, states := range []bool{true, false} {
-		for _, closes := range []bool{true, false} {
+	for _, statesOnConnect := range []bool{true, false} {
+		for _, closesRetired := range []bool{true, false} {
 			c := newCore(t)
-			c.closes = closes
-			if !states { // it never began a connection with one
-				c.states, c.lease.greets, c.lease.distrusted = false, false, true
+			c.closesRetired = closesRetired
+			if !statesOnConnect { // the core never began a connection with its group state
+				c.statesOnConnect, c.lease.stateOnConnect, c.lease.statesDistrusted = false, false, true
 			}
-			c.pass(time.Minute)
-			require.Empty(t, c.expired, "states %v, closes %v", states, closes)
+			c.advance(time.Minute)
+			require.Empty(t, c.expired, "states %v, closes %v", statesOnConnect, closesRetired)
 			require.Less(t, c.dials, 70, "one check a second at most")
 			require.LessOrEqual(t, len(c.lease.processes), 3)
 		}
@@ -128,7 +130,7 @@
 	c.lease.Over("call0")
 	c.lease.Over("call1")
 	dials := c.dials
-	c.pass(time.Minute)
+	c.advance(time.Minute)
 	require.Equal(t, dials, c.dials)
 }
 
@@ -137,7 +139,7 @@
 	dials := c.dials
 	for range 100 {
 		c.lease.Heard(1, c.now, Message{})
-		c.pass(900 * time.Millisecond)
+		c.advance(900 * time.Millisecond)
 	}
 	require.Equal(t, dials, c.dials)
 	require.Empty(t, c.expired)
@@ -145,197 +147,199 @@
 
 func TestVanishedCoreExpires(t *testing.T) {
 	c := newCore(t)
-	c.vanish()
+	c.disappear()
 	vanished := c.now
-	c.pass(8 * time.Second)
+	c.advance(8 * time.Second)
 	require.Equal(t, map[string]Reason{"call0": ReasonSilent, "call1": ReasonSilent}, c.expired)
-	require.LessOrEqual(t, c.expiredAt-vanished, Length+tick)
-	require.GreaterOrEqual(t, c.expiredAt-vanished, Length-CheckAfter-CheckEvery)
+	require.LessOrEqual(t, c.expiredAt-vanished, LeaseDuration+tick)
+	require.GreaterOrEqual(t, c.expiredAt-vanished, LeaseDuration-CheckAfter-CheckInterval)
 }
 
 func TestHungCoreExpires(t *testing.T) {
 	c := newCore(t)
-	c.states, c.closes = false, false // connections come up and bring nothing
-	c.pass(8 * time.Second)
+	c.statesOnConnect, c.closesRetired = false, false // new connections open but bring no message
+	c.advance(8 * time.Second)
 	require.Equal(t, map[string]Reason{"call0": ReasonSilent, "call1": ReasonSilent}, c.expired)
 	require.Less(t, c.dials, 25)
 }
 
-func TestBackInTimeIsKept(t *testing.T) {
+func TestCoreBackBeforeExpiryIsKept(t *testing.T) {
 	c := newCore(t)
 	open := c.open
-	c.vanish()
-	c.pass(5500 * time.Millisecond)
-	c.up, c.open = true, open
-	c.pass(10 * time.Second)
+	c.disappear()
+	c.advance(5500 * time.Millisecond)
+	c.acceptsDials, c.open = true, open
+	c.advance(10 * time.Second)
 	require.Empty(t, c.expired)
 }
 
-// TestBackWithReleases: while the core was away one of its calls has ended. Its release comes after the state.
+// TestBackWithReleases: a call that ended while the core was unreachable is released after the group state that omits
+// it. The state must not make the other call expire.
 func TestBackWithReleases(t *testing.T) {
 	c := newCore(t)
 	open := c.open
-	c.vanish()
-	c.pass(4 * time.Second)
-	c.up, c.open, c.used = true, open, 1
-	c.pass(700 * time.Millisecond)
+	c.disappear()
+	c.advance(4 * time.Second)
+	c.acceptsDials, c.open, c.used = true, open, 1
+	c.advance(700 * time.Millisecond)
 	c.lease.Over("call0")
-	c.pass(10 * time.Second)
+	c.advance(10 * time.Second)
 	require.Empty(t, c.expired)
 }
 
 func TestAddressTaken(t *testing.T) {
 	for _, after := range []time.Duration{0, 300 * time.Millisecond, 2 * time.Second, 5 * time.Second, 6900 * time.Millisecond} {
 		c := newCore(t)
-		c.vanish()
+		c.disappear()
 		vanished := c.now
-		c.pass(after)
-		c.up, c.used = true, 0
-		c.pass(8*time.Second - after)
+		c.advance(after)
+		c.acceptsDials, c.used = true, 0
+		c.advance(8*time.Second - after)
 		require.Len(t, c.expired, 2, "taken after %v", after)
-		require.LessOrEqual(t, c.expiredAt-vanished, Length+tick, "taken after %v", after)
+		require.LessOrEqual(t, c.expiredAt-vanished, LeaseDuration+tick, "taken after %v", after)
 	}
 }
 
-// TestAddressTakenUnseen: where states were not seen to count calls, a core that was away has to prove that it is the
-// one that has them.
+// TestAddressTakenUnseen: without group states known to count calls, the process that answers after an outage has to
+// prove that it has the calls; otherwise they expire.
 func TestAddressTakenUnseen(t *testing.T) {
 	c := newCore(t)
-	c.lease.distrusted = true
-	c.vanish()
-	c.pass(3 * time.Second)
-	c.up = true
-	c.pass(5 * time.Second)
+	c.lease.statesDistrusted = true
+	c.disappear()
+	c.advance(3 * time.Second)
+	c.acceptsDials = true
+	c.advance(5 * time.Second)
 	require.Len(t, c.expired, 2)
 
 	c = newCore(t)
-	c.lease.distrusted = true
+	c.lease.statesDistrusted = true
 	open := c.open
-	c.vanish()
-	c.pass(3 * time.Second)
-	c.up, c.open = true, open
-	c.pass(10 * time.Second)
+	c.disappear()
+	c.advance(3 * time.Second)
+	c.acceptsDials, c.open = true, open
+	c.advance(10 * time.Second)
 	require.Empty(t, c.expired)
 }
 
 func TestCrash(t *testing.T) {
 	c := newCore(t)
-	c.up, c.refuses = false, true
-	c.lose(EndReset)
+	c.acceptsDials, c.refusesDials = false, true
+	c.disconnectAll(EndReset)
 	c.dial()
-	c.pass(tick)
+	c.advance(tick)
 	require.Equal(t, map[string]Reason{"call0": ReasonRefused, "call1": ReasonRefused}, c.expired)
 }
 
-// TestRefusedAfterClose: a core that closed its connections in order and refuses further ones for a moment may be short
-// of them; one that goes on refusing has died.
+// TestRefusedAfterClose: a core that closed its connections in order and briefly refuses new ones may be at its
+// connection limit, so its calls are kept. A core that continues to refuse them has died.
 func TestRefusedAfterClose(t *testing.T) {
 	c := newCore(t)
-	c.refuses, c.up = true, false
-	c.lose(EndClosed)
+	c.refusesDials, c.acceptsDials = true, false
+	c.disconnectAll(EndClosed)
 	c.dial()
-	c.pass(500 * time.Millisecond)
+	c.advance(500 * time.Millisecond)
 	require.Empty(t, c.expired)
-	c.up = true
+	c.acceptsDials = true
 	c.dial()
-	c.pass(10 * time.Second)
+	c.advance(10 * time.Second)
 	require.Empty(t, c.expired)
 
 	c = newCore(t)
-	c.refuses, c.up = true, false
-	c.lose(EndClosed)
+	c.refusesDials, c.acceptsDials = true, false
+	c.disconnectAll(EndClosed)
 	c.dial()
-	c.pass(1200 * time.Millisecond)
+	c.advance(1200 * time.Millisecond)
 	require.Len(t, c.expired, 2)
 }
 
-// TestQuickRestart: the process dies and another listens before a dial is refused. Its states show no call.
+// TestQuickRestart: the process dies and another one listens before a dial is refused. The states of the new process
+// show no calls, so those of the old one expire.
 func TestQuickRestart(t *testing.T) {
 	c := newCore(t)
-	c.lose(EndReset)
+	c.disconnectAll(EndReset)
 	c.used = 0
 	c.dial()
-	c.pass(2 * time.Second)
+	c.advance(2 * time.Second)
 	require.Equal(t, map[string]Reason{"call0": ReasonReplaced, "call1": ReasonReplaced}, c.expired)
 }
 
 func TestConnectionsLost(t *testing.T) {
-	for _, how := range []End{EndClosed, EndReset, EndLocal} {
+	for _, end := range []End{EndClosed, EndReset, EndLocal} {
 		c := newCore(t)
-		c.lose(how)
-		c.pass(700 * time.Millisecond)
+		c.disconnectAll(end)
+		c.advance(700 * time.Millisecond)
 		c.dial()
-		c.pass(20 * time.Second)
-		require.Empty(t, c.expired, "end %v", how)
+		c.advance(20 * time.Second)
+		require.Empty(t, c.expired, "end %v", end)
 	}
 }
 
-// TestLaterCallsHaveTheirOwnLease: calls that stand on the process that has taken the address outlive those of the one
-// before.
+// TestLaterCallsHaveTheirOwnLease: calls on the process that now listens at the address are kept when those of its
+// predecessor expire.
 func TestLaterCallsHaveTheirOwnLease(t *testing.T) {
 	c := newCore(t)
-	c.vanish()
-	c.up, c.used = true, 0
+	c.disappear()
+	c.acceptsDials, c.used = true, 0
 	c.dial()
 	c.used = 1
-	c.lease.Stands("later", 1, c.next, c.now)
-	c.lease.Heard(c.next, c.now, c.state())
-	c.pass(20 * time.Second)
+	c.lease.Stands("later", 1, c.lastID, c.now)
+	c.lease.Heard(c.lastID, c.now, c.state())
+	c.advance(20 * time.Second)
 	require.Equal(t, map[string]Reason{"call0": ReasonReplaced, "call1": ReasonReplaced}, c.expired)
 }
 
-// TestWordOnCall: a process that names a call has it.
-func TestWordOnCall(t *testing.T) {
+// TestProcessNamesCall: a process whose message names a call is the one that has it.
+func TestProcessNamesCall(t *testing.T) {
 	c := newCore(t)
-	c.lease.distrusted = true
-	c.vanish()
-	c.pass(3 * time.Second)
-	c.up, c.states = true, false
+	c.lease.statesDistrusted = true
+	c.disappear()
+	c.advance(3 * time.Second)
+	c.acceptsDials, c.statesOnConnect = true, false
 	c.dial()
-	c.lease.Heard(c.next, c.now, Message{Call: "call0"})
+	c.lease.Heard(c.lastID, c.now, Message{Call: "call0"})
 	require.Len(t, c.lease.processes, 1)
-	c.pass(time.Second)
+	c.advance(time.Second)
 	require.Empty(t, c.expired)
 }
 
-// TestLaterConnectionGreetsFirst: all connections end, and of those that come up in their place the last brings the
-// first word.
+// TestLaterConnectionGreetsFirst: all connections end, and the newest of their replacements brings the first message.
 func TestLaterConnectionGreetsFirst(t *testing.T) {
 	c := newCore(t)
-	c.lose(EndReset)
+	c.disconnectAll(EndReset)
 	for range 3 {
-		c.next++
-		c.open[c.next] = true
-		c.lease.Connected(c.next, c.now)
+		c.lastID++
+		c.open[c.lastID] = true
+		c.lease.Connected(c.lastID, c.now)
 	}
 	for i := range ConnectionID(3) {
-		c.lease.Heard(c.next-i, c.now, c.state())
+		c.lease.Heard(c.lastID-i, c.now, c.state())
 	}
-	c.pass(20 * time.Second)
+	c.advance(20 * time.Second)
 	require.Empty(t, c.expired)
 }
 
-// TestAddressTakenWithSetUps: circuits that open set-ups take on the process that has the address now are no sign that
-// it has the calls of the one before.
+// TestAddressTakenWithSetUps: circuits taken by pending set-ups on the process that now listens at the address do not
+// count as the calls of its predecessor.
 func TestAddressTakenWithSetUps(t *testing.T) {
 	c := newCore(t)
-	c.vanish()
-	c.pass(2 * time.Second)
-	c.up, c.used = true, 5
+	c.disappear()
+	c.advance(2 * time.Second)
+	c.acceptsDials, c.used = true, 5
 	for i := range 5 {
-		c.lease.SetUpSent(fmt.Sprint("set-up", i), 1, c.next+1)
+		c.lease.SetUpSent(fmt.Sprint("set-up", i), 1, c.lastID+1)
 	}
 	c.dial()
 	for i := range 5 {
 		c.lease.SetUpOver(fmt.Sprint("set-up", i))
-		c.lease.Stands(fmt.Sprint("later", i), 1, c.next, c.now)
+		c.lease.Stands(fmt.Sprint("later", i), 1, c.lastID, c.now)
 	}
-	c.lease.Heard(c.next, c.now, c.state())
-	c.pass(5 * time.Second)
+	c.lease.Heard(c.lastID, c.now, c.state())
+	c.advance(5 * time.Second)
 	require.Equal(t, map[string]Reason{"call0": ReasonReplaced, "call1": ReasonReplaced}, c.expired)
 }
 
-// TestReleaseLost: one call of many is missing from the states of a core that is back; the others are kept.
+// TestReleaseLost: one of many calls is missing from the states of a core that is reachable again, because its release
+// was lost. The other calls are kept.
 func TestReleaseLost(t *testing.T) {
 	c := newCore(t)
 	for i := range 6 {
@@ -343,39 +347,39 @@
 	}
 	c.used = 8
 	c.lease.Heard(1, c.now, c.state())
-	c.pass(2 * time.Second)
-	c.lose(EndReset)
+	c.advance(2 * time.Second)
+	c.disconnectAll(EndReset)
 	c.used = 7
 	c.dial()
-	c.pass(10 * time.Second)
+	c.advance(10 * time.Second)
 	require.Empty(t, c.expired)
 }
 
-// TestWordBeforeTick: the process that has taken the address speaks between the second in which calls might have been
-// released and the tick that gives them up.
-func TestWordBeforeTick(t *testing.T) {
+// TestMessageBeforeTick: the process that now listens at the address sends a message after ReleaseGrace and before the
+// tick that expires its predecessor's calls. The message must not renew their lease.
+func TestMessageBeforeTick(t *testing.T) {
 	c := newCore(t)
-	c.vanish()
-	c.up, c.used = true, 0
+	c.disappear()
+	c.acceptsDials, c.used = true, 0
 	c.dial()
-	c.now += ProofWithin
-	c.lease.Heard(c.next, c.now, Message{})
-	c.pass(tick)
+	c.now += ReleaseGrace
+	c.lease.Heard(c.lastID, c.now, Message{})
+	c.advance(tick)
 	require.Equal(t, map[string]Reason{"call0": ReasonReplaced, "call1": ReasonReplaced}, c.expired)
 }
 
-// TestForgottenWithSetUp: the core has forgotten all connections, one with a set-up that it never counts. While that is
-// open, its states don't tell whether it has the calls; afterwards they do.
+// TestForgottenWithSetUp: the core has forgotten all connections, one of them with a set-up that it never counts. While
+// that set-up is pending, the core's states cannot show whether it has the calls; afterwards they can.
 func TestForgottenWithSetUp(t *testing.T) {
 	c := newCore(t)
-	c.closes = false
+	c.closesRetired = false
 	c.lease.SetUpSent("lost", 1, 1)
 	c.dial()
-	c.pass(1500 * time.Millisecond)
+	c.advance(1500 * time.Millisecond)
 	c.lease.SetUpOver("lost")
 	for range 10 {
-		c.lease.Heard(c.next, c.now, c.state())
-		c.pass(time.Second)
+		c.lease.Heard(c.lastID, c.now, c.state())
+		c.advance(time.Second)
 	}
 	require.Empty(t, c.expired)
 	require.Len(t, c.lease.processes, 1)
--- a/internal/liveness/model_test.go
+++ b/internal/liveness/model_test.go
@@ -11,62 +11,62 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The figures of the modelled controller and core.
+// Parameters of the simulated controller and core.
 const (
-	modelStep        = 10 * time.Millisecond
-	modelLength      = 25 * time.Second
-	modelConnections = 3
-	modelSilent      = 800 * time.Millisecond // a connection that answers nothing is closed
-	modelSeeds       = uint64(1200)
+	modelStep            = 10 * time.Millisecond
+	modelDuration        = 25 * time.Second
+	modelConnections     = 3
+	modelResponseTimeout = 800 * time.Millisecond // a connection without a response for that time is closed
+	modelSeeds           = uint64(1200)
 )
 
-// modelConnection is a connection between the modelled controller and core.
+// modelConnection is a connection between the simulated controller and core.
 type modelConnection struct {
-	id          ConnectionID
-	forgotten   bool // by the core: nothing is read or written there any more
-	retired     bool
-	lastMessage time.Duration
-	unanswered  time.Duration // since when, 0 for not at all
-	pending     map[string]bool
-	deliverAt   time.Duration // of the last message on its way: they stay in order
+	id              ConnectionID
+	forgotten       bool // the core no longer reads from it or writes to it
+	retired         bool
+	lastMessage     time.Duration
+	unansweredSince time.Duration // 0 if no set-up is unanswered
+	pending         map[string]bool
+	lastDelivery    time.Duration // arrival time of the last message sent, which keeps messages in order
 }
 
-// modelEvent is something that happens at a time.
+// modelEvent is a function to run at a time. Events at the same time run in sequence.
 type modelEvent struct {
-	at    time.Duration
-	order int
-	do    func()
+	at       time.Duration
+	sequence int
+	run      func()
 }
 
-// model is a lease with the core and the connections that it is kept for, all on one clock and drawn from a seed.
+// model simulates a lease with its core and connections on one clock, with random choices drawn from a seed.
 type model struct {
 	*rand.Rand
-	now     time.Duration
-	lease   *Lease
-	events  []modelEvent
-	order   int
-	open    []*modelConnection
-	lastID  ConnectionID
-	used    int
-	queued  []string // releases that wait for a connection
-	expired []Expiry
-	calls   int
-	timeout time.Duration // of a set-up
-	hold    time.Duration // mean length of a call
-	dialing int
+	now            time.Duration
+	lease          *Lease
+	events         []modelEvent
+	lastSequence   int
+	open           []*modelConnection
+	lastID         ConnectionID
+	used           int
+	queuedReleases []string // calls whose releases wait for a connection
+	expired        []Expiry
+	callCount      int
+	setUpTimeout   time.Duration // time after which a set-up is abandoned
+	meanHold       time.Duration // mean holding time of a call
+	dialing        int
 }
 
-func (m *model) between(from, to time.Duration) time.Duration {
+func (m *model) randomDuration(from, to time.Duration) time.Duration {
 	return from + time.Duration(m.Float64()*float64(to-from))
 }
 
-func (m *model) after(d time.Duration, do func()) {
-	m.order++
-	m.events = append(m.events, modelEvent{m.now + d, m.order, do})
+func (m *model) schedule(d time.Duration, run func()) {
+	m.lastSequence++
+	m.events = append(m.events, modelEvent{m.now + d, m.lastSequence, run})
 }
 
-// pass lets time go by.
-func (m *model) pass(d time.Duration) {
+// advance runs due events and ticks the lease until the clock has moved forward by d.
+func (m *model) advance(d time.Duration) {
 	for end := m.now + d; m.now < end; m.now += modelStep {
 		for {
 			due := slices.IndexFunc(m.events, func(e modelEvent) bool { return e.at <= m.now })
@@ -74,22 +74,22 @@
 				break
 			}
 			first := slices.MinFunc(m.events, func(a, b modelEvent) int {
-				return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.order, b.order))
+				return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.sequence, b.sequence))
 			})
-			m.events = slices.DeleteFunc(m.events, func(e modelEvent) bool { return e.order == first.order })
-			first.do()
+			m.events = slices.DeleteFunc(m.events, func(e modelEvent) bool { return e.sequence == first.sequence })
+			first.run()
 		}
-		m.closeSilent()
+		m.closeUnresponsive()
 		d := m.lease.Tick(m.now)
 		m.expired = append(m.expired, d.Expired...)
 		if d.Check && m.dialing < modelConnections {
-			m.check(d)
+			m.replaceConnection(d)
 		}
 	}
 }
 
-// check opens a connection in the place of an idle one, or one more.
-func (m *model) check(d Decision) {
+// replaceConnection opens a connection that replaces an idle one, or an additional one if none is idle.
+func (m *model) replaceConnection(d Decision) {
 	for _, c := range m.open {
 		if slices.Contains(d.Idle, c.id) && !c.retired && len(c.pending) == 0 {
 			m.dial(func() { c.retired = true; m.lease.Retired(c.id) })
@@ -99,50 +99,50 @@
 	m.dial(func() {})
 }
 
-func (m *model) dial(then func()) {
+func (m *model) dial(onConnect func()) {
 	m.dialing++
-	m.after(m.between(time.Millisecond, 40*time.Millisecond), func() {
+	m.schedule(m.randomDuration(time.Millisecond, 40*time.Millisecond), func() {
 		m.dialing--
 		m.lastID++
 		c := &modelConnection{id: m.lastID, lastMessage: m.now, pending: map[string]bool{}}
 		m.open = append(m.open, c)
 		m.lease.Connected(c.id, m.now)
-		then()
-		m.tell(c)
-		for _, call := range m.queued {
-			m.write(c, Message{Call: call}, func() { m.lease.Over(call) })
+		onConnect()
+		m.sendState(c)
+		for _, call := range m.queuedReleases {
+			m.send(c, Message{Call: call}, func() { m.lease.Over(call) })
 		}
-		m.queued = nil
+		m.queuedReleases = nil
 	})
 }
 
-// write sends a message of the core: in order on a connection, in any order on several.
-func (m *model) write(c *modelConnection, message Message, then func()) {
+// send delivers a message from the core, in order on each connection but not across connections.
+func (m *model) send(c *modelConnection, message Message, onDelivery func()) {
 	if c.forgotten {
 		return
 	}
-	c.deliverAt = max(c.deliverAt, m.now+m.between(0, 40*time.Millisecond))
-	m.after(c.deliverAt-m.now, func() {
+	c.lastDelivery = max(c.lastDelivery, m.now+m.randomDuration(0, 40*time.Millisecond))
+	m.schedule(c.lastDelivery-m.now, func() {
 		if !slices.Contains(m.open, c) {
 			return
 		}
-		c.lastMessage, c.unanswered = m.now, 0
+		c.lastMessage, c.unansweredSince = m.now, 0
 		m.lease.Heard(c.id, m.now, message)
-		then()
+		onDelivery()
 	})
 }
 
-func (m *model) tell(c *modelConnection) {
-	m.write(c, Message{GroupState: true, Free: float64(100 - m.used), Size: 100}, func() {})
+func (m *model) sendState(c *modelConnection) {
+	m.send(c, Message{GroupState: true, Free: float64(100 - m.used), Size: 100}, func() {})
 }
 
-func (m *model) tellAll() {
+func (m *model) sendStates() {
 	for _, c := range m.open {
-		m.tell(c)
+		m.sendState(c)
 	}
 }
 
-// setUp sends a set-up on the connection with the fewest open ones.
+// setUp sends a set-up on the connection with the fewest pending set-ups, preferring connections that are not overdue.
 func (m *model) setUp() {
 	var best *modelConnection
 	for _, c := range m.open {
@@ -153,76 +153,77 @@
 	if best == nil {
 		return
 	}
-	m.calls++
-	id := fmt.Sprint("call", m.calls)
+	m.callCount++
+	id := fmt.Sprint("call", m.callCount)
 	best.pending[id] = true
-	if best.unanswered == 0 {
-		best.unanswered = m.now
+	if best.unansweredSince == 0 {
+		best.unansweredSince = m.now
 	}
 	m.lease.SetUpSent(id, 1, best.id)
-	m.after(m.timeout, func() { m.over(best, id) })
-	m.after(m.between(0, 20*time.Millisecond), func() { m.take(best, id) })
+	m.schedule(m.setUpTimeout, func() { m.endSetUp(best, id) })
+	m.schedule(m.randomDuration(0, 20*time.Millisecond), func() { m.acceptSetUp(best, id) })
 }
 
 func (m *model) overdue(c *modelConnection) bool {
-	return c.unanswered > 0 && m.now-c.unanswered > 150*time.Millisecond
+	return c.unansweredSince > 0 && m.now-c.unansweredSince > 150*time.Millisecond
 }
 
-// over ends a set-up that is still open.
-func (m *model) over(c *modelConnection, id string) {
+// endSetUp ends a set-up that is still pending.
+func (m *model) endSetUp(c *modelConnection, id string) {
 	if c.pending[id] {
 		delete(c.pending, id)
 		m.lease.SetUpOver(id)
 	}
 }
 
-// take is the core's side of a set-up.
-func (m *model) take(c *modelConnection, id string) {
+// acceptSetUp simulates the core's processing of a set-up.
+func (m *model) acceptSetUp(c *modelConnection, id string) {
 	if c.forgotten || !slices.Contains(m.open, c) {
 		return
 	}
 	m.used++
-	m.tellAll()
-	m.after(m.between(time.Millisecond, 60*time.Millisecond), func() { m.answer(c, id) })
+	m.sendStates()
+	m.schedule(m.randomDuration(time.Millisecond, 60*time.Millisecond), func() { m.answerCall(c, id) })
 }
 
-func (m *model) answer(c *modelConnection, id string) {
-	m.write(c, Message{Call: id}, func() {
+func (m *model) answerCall(c *modelConnection, id string) {
+	m.send(c, Message{Call: id}, func() {
 		if c.pending[id] {
-			m.over(c, id)
+			m.endSetUp(c, id)
 			m.lease.Stands(id, 1, c.id, m.now)
 		}
 	})
-	m.after(m.between(m.hold/5, 2*m.hold), func() { m.finish(c, id) })
+	m.schedule(m.randomDuration(m.meanHold/5, 2*m.meanHold), func() { m.endCall(c, id) })
 }
 
-// finish is the end of a call at the core.
-func (m *model) finish(c *modelConnection, id string) {
+// endCall ends a call at the core, which sends the release, or queues it while no connection is usable.
+func (m *model) endCall(c *modelConnection, id string) {
 	m.used--
-	m.tellAll()
+	m.sendStates()
 	open := slices.DeleteFunc(slices.Clone(m.open), func(x *modelConnection) bool { return x.forgotten })
 	if len(open) == 0 {
-		m.queued = append(m.queued, id)
+		m.queuedReleases = append(m.queuedReleases, id)
 		return
 	}
 	on := open[m.IntN(len(open))]
 	if slices.Contains(open, c) {
 		on = c
 	}
-	m.write(on, Message{Call: id}, func() { m.lease.Over(id) })
+	m.send(on, Message{Call: id}, func() { m.lease.Over(id) })
 }
 
-// closeSilent closes a connection that has answered nothing, where no other has brought anything since.
-func (m *model) closeSilent() {
+// closeUnresponsive closes a connection that has not responded within modelResponseTimeout, unless another connection
+// has brought a message since.
+func (m *model) closeUnresponsive() {
 	for _, c := range m.open {
-		if c.unanswered == 0 || m.now-c.unanswered < modelSilent {
+		if c.unansweredSince == 0 || m.now-c.unansweredSince < modelResponseTimeout {
 			continue
 		}
-		if slices.ContainsFunc(m.open, func(x *modelConnection) bool { return x.lastMessage > c.unanswered }) {
+		if slices.ContainsFunc(m.open, func(x *modelConnection) bool { return x.lastMessage > c.unansweredSince }) {
 			return
 		}
 		for id := range c.pending {
-			m.over(c, id)
+			m.endSetUp(c, id)
 		}
 		m.open = slices.DeleteFunc(m.open, func(x *modelConnection) bool { return x == c })
 		m.lease.Disconnected(c.id, m.now, EndLocal)
@@ -231,24 +232,24 @@
 	}
 }
 
-// newModel returns a lease on which calls stand.
+// newModel returns a model with standing calls.
 func newModel(seed uint64) *model {
 	m := &model{Rand: rand.New(rand.NewPCG(seed, 1)), now: time.Second, lease: New()}
-	m.timeout = m.between(300*time.Millisecond, 4*time.Second)
-	m.hold = m.between(3*time.Second, 20*time.Second)
+	m.setUpTimeout = m.randomDuration(300*time.Millisecond, 4*time.Second)
+	m.meanHold = m.randomDuration(3*time.Second, 20*time.Second)
 	for range modelConnections {
 		m.dial(func() {})
 	}
-	m.pass(200 * time.Millisecond)
+	m.advance(200 * time.Millisecond)
 	for range 1 + m.IntN(6) {
 		m.setUp()
 	}
-	m.pass(m.between(1500*time.Millisecond, 4*time.Second))
+	m.advance(m.randomDuration(1500*time.Millisecond, 4*time.Second))
 	return m
 }
 
-// TestForgottenBySeeds guards against calls that are given up on a core that is alive: it forgets its connections, with
-// set-ups open on them or crossing, and tells of its calls on the next ones.
+// TestForgottenBySeeds guards against abandoning calls on a live core. The core forgets its connections while set-ups
+// are pending or in transit on them, and reports its calls on the connections that follow.
 func TestForgottenBySeeds(t *testing.T) {
 	for seed := range modelSeeds {
 		m := newModel(seed)
@@ -260,7 +261,7 @@
 			m.setUp()
 		}
 		next := m.now
-		for end := m.now + modelLength; m.now < end; m.pass(modelStep) {
+		for end := m.now + modelDuration; m.now < end; m.advance(modelStep) {
 			if m.now >= next {
 				m.setUp()
 				next = m.now + time.Duration(m.ExpFloat64()/rate*float64(time.Second))
