--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,5 +1,5 @@
-// Package directory follows the list of cores: the events that the configuration holds, and later the name
-// service, asked by DNS.
+// Package directory maintains the membership list of cores. It starts from the events in the configuration and then
+// polls the name service over DNS for newer lists.
 package directory
 
 import (
@@ -19,36 +19,37 @@
 	"brookmux"
 )
 
-const service = "_app._tcp.cluster.lan."
+const serviceName = "_app._tcp.cluster.lan."
 
-// Entry is a core as listed.
+// Entry is a core in the membership list.
 type Entry struct {
 	brookmux.Switch
-	Addr string
+	Addr string // host:port
 }
 
-// List is the whole list as of an event.
+// List is a complete membership list with its serial number; a list with a greater number is newer.
 type List struct {
 	Serial  uint32
-	Entries []Entry // those that run, by id
+	Entries []Entry // the cores that have not left, sorted by ID
 }
 
-// Reader turns the wire's words into entries.
+// Reader decodes configuration events and DNS answers into lists.
 type Reader struct {
-	Zones  []string  // by index
-	Origin time.Time // the clock's zero
+	Zones  []string  // zone names; the index is Switch.Zone
+	Origin time.Time // time zero of Switch.Since
 }
 
-// since puts a Unix millisecond on the own clock; 0 means long ago.
-func (r Reader) since(unix int64) time.Duration {
+// clockTime converts Unix milliseconds to the time since Origin. Zero and negative values give 0, which means long ago;
+// other times give at least 1 ns.
+func (r Reader) clockTime(unix int64) time.Duration {
 	if unix <= 0 {
 		return 0
 	}
 	return max(1, time.UnixMilli(unix).Sub(r.Origin))
 }
 
-// id reads a core's id, "s-" and hex digits.
-func id(text string) (brookmux.SwitchID, error) {
+// parseID parses a core's ID, which is "s-" followed by hexadecimal digits.
+func parseID(text string) (brookmux.SwitchID, error) {
 	_, digits, _ := strings.Cut(text, "-")
 	n, err := strconv.ParseUint(digits, 16, 32)
 	if err != nil {
@@ -57,7 +58,8 @@
 	return brookmux.SwitchID(n), nil
 }
 
-// Known reads the events that a configuration holds, in order, into the list that they leave.
+// Known applies the events of a configuration in order and returns the resulting list. An event that is marked complete
+// replaces the list; others update it.
 func (r Reader) Known(v *fastjson.Value) (List, error) {
 	l := List{Serial: uint32(v.GetUint("rev"))}
 	byID := map[brookmux.SwitchID]Entry{}
@@ -67,7 +69,7 @@
 			clear(byID)
 		}
 		for _, m := range pool.GetArray("members") {
-			e, err := r.member(m)
+			e, err := r.parseMember(m)
 			if err != nil {
 				return l, fmt.Errorf("directory: known: %w", err)
 			}
@@ -76,26 +78,26 @@
 			}
 		}
 	}
-	l.Entries = sorted(byID)
+	l.Entries = sortedEntries(byID)
 	return l, nil
 }
 
-// member reads a line of an event.
-func (r Reader) member(m *fastjson.Value) (Entry, error) {
+// parseMember decodes one member of an event.
+func (r Reader) parseMember(m *fastjson.Value) (Entry, error) {
 	states := map[string]brookmux.SwitchState{
 		"Ready": brookmux.Ready, "Terminating": brookmux.Draining, "Gone": brookmux.Gone}
 	state, ok := states[string(m.GetStringBytes("phase"))]
 	if !ok {
 		return Entry{}, fmt.Errorf("unknown phase %q", m.GetStringBytes("phase"))
 	}
-	n, err := id(string(m.GetStringBytes("id")))
+	n, err := parseID(string(m.GetStringBytes("id")))
 	return Entry{Addr: string(m.GetStringBytes("host_port")), Switch: brookmux.Switch{ID: n, State: state,
 		Number: m.GetInt("cell"), Zone: slices.Index(r.Zones, string(m.GetStringBytes("locality"))),
-		Since: r.since(m.GetInt64("up_since_ms"))}}, err
+		Since: r.clockTime(m.GetInt64("up_since_ms"))}}, err
 }
 
-// sorted lists entries by id.
-func sorted(byID map[brookmux.SwitchID]Entry) []Entry {
+// sortedEntries returns the entries sorted by ID.
+func sortedEntries(byID map[brookmux.SwitchID]Entry) []Entry {
 	out := make([]Entry, 0, len(byID))
 	for _, e := range byID {
 		out = append(out, e)
@@ -104,13 +106,13 @@
 	return out
 }
 
-// encodeQuery writes a query for the whole list.
-func encodeQuery(number uint16) ([]byte, error) {
-	b := dnsmessage.NewBuilder(nil, dnsmessage.Header{ID: number, RecursionDesired: false})
+// encodeQuery encodes a DNS query for the complete list.
+func encodeQuery(id uint16) ([]byte, error) {
+	b := dnsmessage.NewBuilder(nil, dnsmessage.Header{ID: id, RecursionDesired: false})
 	if err := b.StartQuestions(); err != nil {
 		return nil, err
 	}
-	err := b.Question(dnsmessage.Question{Name: dnsmessage.MustNewName(service),
+	err := b.Question(dnsmessage.Question{Name: dnsmessage.MustNewName(serviceName),
 		Type: dnsmessage.TypeSRV, Class: dnsmessage.ClassINET})
 	if err != nil {
 		return nil, err
@@ -118,8 +120,9 @@
 	return b.Finish()
 }
 
-// Answer reads an answer: SRV records, the SOA with the serial, and what the targets' A and TXT records say.
-func (r Reader) Answer(packet []byte) (uint16, List, error) {
+// ParseAnswer decodes a DNS answer: the SRV records, the SOA record with the serial number, and the A and TXT records
+// of the targets. It returns the query ID of the answer, also with an error if the message could be unpacked.
+func (r Reader) ParseAnswer(packet []byte) (uint16, List, error) {
 	var m dnsmessage.Message
 	if err := m.Unpack(packet); err != nil {
 		return 0, List{}, fmt.Errorf("directory: answer: %w", err)
@@ -127,11 +130,11 @@
 	if !m.Response || m.RCode != dnsmessage.RCodeSuccess || m.Truncated {
 		return m.ID, List{}, fmt.Errorf("directory: answer: %v, response %v, truncated %v", m.RCode, m.Response, m.Truncated)
 	}
-	if len(m.Questions) != 1 || !strings.EqualFold(m.Questions[0].Name.String(), service) ||
+	if len(m.Questions) != 1 || !strings.EqualFold(m.Questions[0].Name.String(), serviceName) ||
 		m.Questions[0].Type != dnsmessage.TypeSRV {
-		return m.ID, List{}, errors.New("directory: answer is to another question")
+		return m.ID, List{}, errors.New("directory: answer to a different question")
 	}
-	l, numbered := List{}, false
+	l, hasSerial := List{}, false
 	ports, addrs := map[string]uint16{}, map[string]string{}
 	entries := map[string]Entry{}
 	texts := map[string][]string{}
@@ -140,11 +143,11 @@
 			name := strings.ToLower(rr.Header.Name.String())
 			switch b := rr.Body.(type) {
 			case *dnsmessage.SOAResource:
-				l.Serial, numbered = b.Serial, true
+				l.Serial, hasSerial = b.Serial, true
 			case *dnsmessage.SRVResource:
 				target := strings.ToLower(b.Target.String())
 				labels := strings.SplitN(target, ".", 3)
-				n, err := id(labels[0])
+				n, err := parseID(labels[0])
 				if err != nil || len(labels) < 2 {
 					return m.ID, l, fmt.Errorf("directory: target %q: %w", target, err)
 				}
@@ -160,13 +163,13 @@
 			}
 		}
 	}
-	if !numbered {
+	if !hasSerial {
 		return m.ID, l, errors.New("directory: answer has no SOA record")
 	}
 	byID := map[brookmux.SwitchID]Entry{}
 	for target, e := range entries {
 		if addrs[target] == "" || texts[target] == nil {
-			return m.ID, l, fmt.Errorf("directory: no address or text for %q", target)
+			return m.ID, l, fmt.Errorf("directory: target %q lacks an A or TXT record", target)
 		}
 		e.Addr = net.JoinHostPort(addrs[target], strconv.Itoa(int(ports[target])))
 		for _, t := range texts[target] {
@@ -176,18 +179,18 @@
 			case key == "cell" && err == nil:
 				e.Number = int(n)
 			case key == "started" && err == nil:
-				e.Since = r.since(n)
+				e.Since = r.clockTime(n)
 			case key == "cell" || key == "started":
-				return m.ID, l, fmt.Errorf("directory: text %q of %q: %w", t, target, err)
+				return m.ID, l, fmt.Errorf("directory: TXT string %q of %q: %w", t, target, err)
 			}
 		}
 		byID[e.ID] = e
 	}
-	l.Entries = sorted(byID)
+	l.Entries = sortedEntries(byID)
 	return m.ID, l, nil
 }
 
-// Switches are the list's lines in the module's words.
+// Switches returns the entries without their addresses, in the type that the root package uses.
 func (l List) Switches() []brookmux.Switch {
 	var out []brookmux.Switch
 	for _, e := range l.Entries {
@@ -196,15 +199,16 @@
 	return out
 }
 
-// Merge joins the lists of several sources into the one that the module knows.
+// Merge combines the lists of several sources into one. Told must be set before the first Set. Set may be called from
+// any goroutine.
 type Merge struct {
-	Told func(brookmux.Members) // called in the order of the changes
+	Told func(brookmux.Members) // receives the combined list after each change, in order, with the lock held
 
 	mu    sync.Mutex
 	parts map[string][]brookmux.Switch
 }
 
-// Set takes a source's whole list.
+// Set replaces the list of a source and passes the combined list, ordered by source name, to Told.
 func (m *Merge) Set(source string, kind brookmux.ListKind, list []brookmux.Switch) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/directory/schedule.go
+++ b/internal/directory/schedule.go
@@ -5,47 +5,48 @@
 )
 
 const (
-	queryInterval  = 200 * time.Millisecond // between two queries while answers are prompt
-	maxInterval    = time.Second            // between two queries while there are none: an outage may end at any time
-	maxQuiet       = 4 * time.Second        // without a query, however many wait: a change counts as told 6 s after an outage
-	promptAnswer   = 500 * time.Millisecond // an answer that takes no longer brings the usual pace back
-	minPatience    = 600 * time.Millisecond // a query without an answer for so long counts as lost
-	maxPatience    = 30 * time.Second
-	patienceFactor = 3                // times the usual delay of an answer
-	usualWindow    = 2                // queries that may wait for an answer at a time
-	narrowWindow   = 1                // while queries are lost: the service may be crowded
-	narrowFor      = 10 * time.Second // after the last that was lost
-	lateAnswers    = time.Minute      // an answer counts for so long after its query
-	maxQueries     = 64               // that are remembered
-	jitterShare    = 0.2              // of an interval, either way
+	queryInterval     = 200 * time.Millisecond // between two queries while answers are prompt
+	maxInterval       = time.Second            // base while queries fail; small, as an outage may end at any time
+	maxQueryGap       = 4 * time.Second        // even with a full window: changes count as known 6 s after an outage
+	promptDelay       = 500 * time.Millisecond // an answer within this delay restores the normal rate
+	minTimeout        = 600 * time.Millisecond // lower bound of the time after which a query counts as lost
+	maxTimeout        = 30 * time.Second
+	timeoutFactor     = 3                // timeout as a multiple of the smoothed answer delay
+	defaultWindow     = 2                // maximum number of outstanding queries
+	reducedWindow     = 1                // same after queries were lost, as the service may be overloaded
+	reducedWindowTime = 10 * time.Second // how long the reduced window applies after the last lost query
+	maxAnswerAge      = time.Minute      // answers to older queries are ignored
+	maxQueries        = 64               // maximum number of queries kept
+	jitterShare       = 0.2              // maximum jitter as a share of the interval, in both directions
 )
 
-// query is one that was sent and not answered yet.
+// query is a query that was sent and not yet answered.
 type query struct {
 	sent time.Duration
-	lost bool // it counts as lost; its answer is taken all the same
+	lost bool // it counts as lost; a late answer is still accepted
 }
 
-// schedule decides when the name service is asked, and which answers count. It reads no clock and does no I/O. The pace
-// follows the service: no more than a few queries wait for an answer at a time, and while answers are late, fail or don't
-// come, queries get fewer; the first prompt answer brings the pace back.
+// schedule decides when to query the name service and which answers are accepted. It reads no clock and does no I/O.
+// The query rate adapts to the service: the number of outstanding queries is limited, and queries become less frequent
+// while answers are late, report failures or are missing. The first prompt answer restores the normal rate.
 type schedule struct {
-	queries  map[uint16]*query
-	lastSent time.Duration
-	asked    bool
-	delay    time.Duration // of the answers, smoothed
-	failures int           // one after another
-	lostAt   time.Duration // when a query last counted as lost
-	narrowed bool
-	jitter   float64 // of the present interval, -1 to 1
+	queries       map[uint16]*query
+	lastSentAt    time.Duration
+	started       bool
+	delay         time.Duration // smoothed answer delay
+	failures      int           // consecutive failures
+	lostAt        time.Duration // when a query last counted as lost
+	windowReduced bool
+	jitter        float64 // of the current interval, from -1 to 1
 }
 
 func newSchedule() *schedule { return &schedule{queries: map[uint16]*query{}} }
 
-// restart forgets what is known of the service, as another one is asked from now on.
-func (s *schedule) restart() { *s = *newSchedule() }
+// reset clears all state about the service, for a change to another one.
+func (s *schedule) reset() { *s = *newSchedule() }
 
-// interval is the time between two queries.
+// interval returns the time between two queries. It grows with consecutive failures up to maxInterval, plus or minus
+// the jitter, and otherwise follows the smoothed delay, so that at most defaultWindow queries are outstanding.
 func (s *schedule) interval() time.Duration {
 	if s.failures > 0 {
 		d := maxInterval
@@ -54,27 +55,27 @@
 		}
 		return d + time.Duration(s.jitter*jitterShare*float64(d))
 	}
-	return max(queryInterval, s.delay/usualWindow)
+	return max(queryInterval, s.delay/defaultWindow)
 }
 
-// patience is how long a query may go without an answer before it counts as lost.
-func (s *schedule) patience() time.Duration {
-	return min(maxPatience, max(minPatience, patienceFactor*s.delay))
+// timeout returns the time after which an unanswered query counts as lost.
+func (s *schedule) timeout() time.Duration {
+	return min(maxTimeout, max(minTimeout, timeoutFactor*s.delay))
 }
 
-// window is how many queries may wait for an answer.
+// window returns the maximum number of outstanding queries.
 func (s *schedule) window(now time.Duration) int {
-	if s.narrowed && now-s.lostAt < narrowFor {
-		return narrowWindow
+	if s.windowReduced && now-s.lostAt < reducedWindowTime {
+		return reducedWindow
 	}
-	return usualWindow
+	return defaultWindow
 }
 
-// quiet is the longest time without a query.
-func (s *schedule) quiet() time.Duration { return max(maxQuiet, s.delay+s.delay/2) }
+// queryGap returns the maximum time between two queries.
+func (s *schedule) queryGap() time.Duration { return max(maxQueryGap, s.delay+s.delay/2) }
 
-// waiting is how many queries wait for an answer.
-func (s *schedule) waiting() int {
+// outstanding returns the number of queries that are neither answered nor lost.
+func (s *schedule) outstanding() int {
 	n := 0
 	for _, q := range s.queries {
 		if !q.lost {
@@ -84,54 +85,55 @@
 	return n
 }
 
-// tick gives up what has waited too long, and tells how many queries were.
+// tick marks queries that have exceeded the timeout as lost, drops those older than maxAnswerAge, and returns the
+// number of newly lost ones. random, from -1 to 1, is the jitter of the next interval if there are any.
 func (s *schedule) tick(now time.Duration, random float64) (lost int) {
 	for id, q := range s.queries {
-		if now-q.sent > lateAnswers {
+		if now-q.sent > maxAnswerAge {
 			delete(s.queries, id)
-		} else if !q.lost && now-q.sent >= s.patience() {
+		} else if !q.lost && now-q.sent >= s.timeout() {
 			q.lost = true
 			lost++
 		}
 	}
 	if lost > 0 {
-		s.narrowed, s.lostAt = true, now
+		s.windowReduced, s.lostAt = true, now
 		s.failed(random)
 	}
 	return lost
 }
 
-// due tells whether a query is to be sent now.
+// due reports whether a query is to be sent now.
 func (s *schedule) due(now time.Duration) bool {
-	since := now - s.lastSent
-	return !s.asked || since >= s.quiet() || s.waiting() < s.window(now) && since >= s.interval()
+	since := now - s.lastSentAt
+	return !s.started || since >= s.queryGap() || s.outstanding() < s.window(now) && since >= s.interval()
 }
 
-// next is the time at which tick and due may tell something new, if nothing else happens.
-func (s *schedule) next(now time.Duration) time.Duration {
-	at := s.lastSent + s.quiet()
+// nextDue returns the earliest time at which the result of tick or due may change without further events.
+func (s *schedule) nextDue(now time.Duration) time.Duration {
+	at := s.lastSentAt + s.queryGap()
 	for _, q := range s.queries {
 		if !q.lost {
-			at = min(at, q.sent+s.patience())
+			at = min(at, q.sent+s.timeout())
 		}
 	}
-	if s.waiting() < s.window(now) {
-		at = min(at, s.lastSent+s.interval())
+	if s.outstanding() < s.window(now) {
+		at = min(at, s.lastSentAt+s.interval())
 	}
 	return max(at, now)
 }
 
-// sent notes that a query was sent under a number that is not in use.
+// sent records that a query was sent under an ID that is not in use.
 func (s *schedule) sent(id uint16, now time.Duration) {
-	s.asked, s.lastSent = true, now
+	s.started, s.lastSentAt = true, now
 	if len(s.queries) >= maxQueries {
-		s.forgetOldest()
+		s.dropOldest()
 	}
 	s.queries[id] = &query{sent: now}
 }
 
-// forgetOldest drops the query that was sent first.
-func (s *schedule) forgetOldest() {
+// dropOldest drops the query that was sent first.
+func (s *schedule) dropOldest() {
 	var oldest uint16
 	found := false
 	for id, q := range s.queries {
@@ -142,10 +144,10 @@
 	delete(s.queries, oldest)
 }
 
-// uses tells whether a number belongs to a query that may still be answered.
-func (s *schedule) uses(id uint16) bool { return s.queries[id] != nil }
+// inUse reports whether an ID belongs to a query whose answer would still be accepted.
+func (s *schedule) inUse(id uint16) bool { return s.queries[id] != nil }
 
-// answered takes an answer that can be used, and returns its delay; false if it is to no query of this schedule.
+// answered records a valid answer and returns its delay. It returns false if no query has this ID.
 func (s *schedule) answered(id uint16, now time.Duration) (time.Duration, bool) {
 	q := s.queries[id]
 	if q == nil {
@@ -153,7 +155,7 @@
 	}
 	delete(s.queries, id)
 	delay := now - q.sent
-	if delay > s.delay || delay <= promptAnswer {
+	if delay > s.delay || delay <= promptDelay {
 		s.delay = delay
 	} else {
 		s.delay = (s.delay + delay) / 2
@@ -162,7 +164,7 @@
 	return delay, true
 }
 
-// rejected takes an answer that can't be used, and tells whether it was to a query of this schedule.
+// rejected records an answer that cannot be used, as a failure. It reports whether a query has this ID.
 func (s *schedule) rejected(id uint16, random float64) bool {
 	if s.queries[id] == nil {
 		return false
@@ -172,7 +174,7 @@
 	return true
 }
 
-// refused takes word that nothing listens at the service's address. Queries that wait there are lost.
+// refused records that nothing listens at the service's address. Outstanding queries are lost.
 func (s *schedule) refused(random float64) {
 	for _, q := range s.queries {
 		q.lost = true
@@ -180,7 +182,7 @@
 	s.failed(random)
 }
 
-// failed takes word that the service can't be used now, with a random number from -1 to 1 for the next interval.
+// failed records a failure of the service. random, from -1 to 1, is the jitter of the next interval.
 func (s *schedule) failed(random float64) {
 	s.failures++
 	s.jitter = random
