--- a/internal/storm/budget.go
+++ b/internal/storm/budget.go
@@ -2,40 +2,45 @@
 
 import "time"
 
-// A retry budget: served work earns tokens, further attempts spend them. While all is well every attempt is paid
-// for many times over; where set-ups fail, attempts per call fall towards 1. It never stands before a first
-// attempt.
+// Retry budget: served calls earn tokens and further attempts spend them. In normal operation calls earn far more
+// tokens than attempts spend; when set-ups fail, the attempts per call fall towards 1. First attempts are never
+// limited.
 const (
-	budgetEarn  = 0.2 // tokens that a served call earns
-	budgetMost  = 10.0
-	budgetDrip  = 0.5 // tokens a second that come by themselves, so that a route that is back is found
-	budgetStart = 5.0
+	budgetPerCall   = 0.2 // tokens earned by a served call
+	maxBudget       = 10.0
+	budgetPerSecond = 0.5 // tokens added per second without any served call, so that a recovered route is found
+	initialBudget   = 5.0
 )
 
+// budget is the token bucket of a retry budget. The zero value fills to initialBudget on first use.
 type budget struct {
-	tokens float64
-	at     time.Duration
-	begun  bool
+	tokens    float64
+	updatedAt time.Duration
+	started   bool
 }
 
-func (b *budget) fill(now time.Duration) {
-	if !b.begun {
-		b.begun, b.tokens, b.at = true, budgetStart, now
+// refill adds the tokens accrued since the last update.
+func (b *budget) refill(now time.Duration) {
+	if !b.started {
+		b.started, b.tokens, b.updatedAt = true, initialBudget, now
 	}
-	if now > b.at {
-		b.tokens = min(budgetMost, b.tokens+budgetDrip*(now-b.at).Seconds())
+	if now > b.updatedAt {
+		b.tokens = min(maxBudget, b.tokens+budgetPerSecond*(now-b.updatedAt).Seconds())
 	}
-	b.at = now
+	b.updatedAt = now
 }
 
+// earn credits a served call.
 func (b *budget) earn(now time.Duration) {
-	b.fill(now)
-	b.tokens = min(budgetMost, b.tokens+budgetEarn)
+	b.refill(now)
+	b.tokens = min(maxBudget, b.tokens+budgetPerCall)
 }
 
-func (b *budget) has(now time.Duration) bool {
-	b.fill(now)
+// available reports whether there is a token for a further attempt.
+func (b *budget) available(now time.Duration) bool {
+	b.refill(now)
 	return b.tokens >= 1
 }
 
+// spend takes one token; the caller has checked available.
 func (b *budget) spend() { b.tokens-- }
--- a/internal/storm/callers.go
+++ b/internal/storm/callers.go
@@ -2,88 +2,90 @@
 
 import "time"
 
-// Callers who were told when to come back, in a table that never grows. A caller is known by a hash of what its
-// tries have in common; an address that many share condemns nobody.
+// Callers that were given a wait, in a set-associative table of fixed size. A caller is identified by a hash of what
+// its tries have in common. Callers that share a hash, as those behind one address may, are not penalised for each
+// other's tries.
 const (
-	callerWays   = 4
-	callerSets   = 2048                  // a power of two
-	callerGrace  = 50 * time.Millisecond // clocks and networks are not exact
-	callerForget = 30 * time.Second      // after its last offence a caller is forgiven, and its line is free
-	ignoredTwice = 2                     // offences that make an ignorer: one may be an accident
+	callerWays      = 4
+	callerSets      = 2048                  // must be a power of two
+	callerGrace     = 50 * time.Millisecond // tolerance for clock and network inaccuracy
+	callerTTL       = 30 * time.Second      // time after a caller's last wait or offence when its entry expires
+	ignorerOffences = 2                     // early tries that make an ignorer; a single one may be an accident
 )
 
-// entry is a caller that was told to stay away.
+// entry is a caller that was given a wait.
 type entry struct {
-	hash    uint64
-	at      time.Duration // when it was last told
-	due     time.Duration // when the first of those told under this hash may come back
-	told    uint16        // how many stay away
-	tries   uint16        // how often in a row it was told
-	ignored uint16        // how often it came before its time
+	hash     uint64
+	lastAt   time.Duration // time of the last wait given or of the last early try
+	returnAt time.Duration // earliest time at which a caller with this hash may retry
+	away     uint16        // number of waits not yet followed by a retry or a served call
+	tries    uint16        // number of waits given since the last served call
+	early    uint16        // tries before returnAt, less the later ones that were in time
 }
 
+// callers is the table. The low bits of the hash select a set; in a full set the oldest entry is replaced.
 type callers struct {
 	sets [callerSets][callerWays]entry
 }
 
-// find returns a caller's line, or nil.
+// find returns the entry of a caller, or nil if there is none or it has expired.
 func (c *callers) find(now time.Duration, hash uint64) *entry {
 	set := &c.sets[hash&(callerSets-1)]
 	for i := range set {
-		if e := &set[i]; e.hash == hash && e.at > 0 && now-e.at < callerForget {
+		if e := &set[i]; e.hash == hash && e.lastAt > 0 && now-e.lastAt < callerTTL {
 			return e
 		}
 	}
 	return nil
 }
 
-// came takes a try, marked by its caller as a further one or not, and tells whether its caller is one who
-// ignores advice, and how often it was told to stay away before.
-func (c *callers) came(now time.Duration, hash uint64, resent bool) (ignorer bool, tries int) {
+// recordTry records a try of a caller, which has marked it as a further one if resent is set. It reports whether
+// the caller ignores advice, and how many waits it was given in a row.
+func (c *callers) recordTry(now time.Duration, hash uint64, resent bool) (ignorer bool, tries int) {
 	e := c.find(now, hash)
 	if e == nil {
 		return false, 0
 	}
-	if !resent || e.told == 0 { // others may share the hash: they were told nothing
-		return e.ignored >= ignoredTwice, 0
+	if !resent || e.away == 0 { // a caller that shares the hash and was given no wait
+		return e.early >= ignorerOffences, 0
 	}
-	e.told--
-	if now+callerGrace < e.due {
-		e.ignored = min(e.ignored+1, 1000)
-		e.at = now
-	} else if e.ignored > 0 && now >= e.due {
-		e.ignored--
+	e.away--
+	if now+callerGrace < e.returnAt {
+		e.early = min(e.early+1, 1000)
+		e.lastAt = now
+	} else if e.early > 0 && now >= e.returnAt {
+		e.early--
 	}
-	return e.ignored >= ignoredTwice, int(e.tries)
+	return e.early >= ignorerOffences, int(e.tries)
 }
 
-// tell notes that a caller was told to stay away.
-func (c *callers) tell(now time.Duration, hash uint64, wait time.Duration) {
+// recordWait records the wait given to a caller.
+func (c *callers) recordWait(now time.Duration, hash uint64, wait time.Duration) {
 	set := &c.sets[hash&(callerSets-1)]
 	e := c.find(now, hash)
 	if e == nil {
 		e = &set[0]
 		for i := range set {
-			if set[i].at < e.at { // the one told longest ago makes room
+			if set[i].lastAt < e.lastAt { // replace the entry with the oldest lastAt
 				e = &set[i]
 			}
 		}
 		*e = entry{hash: hash}
 	}
-	if e.told == 0 || now+wait < e.due {
-		e.due = now + wait
+	if e.away == 0 || now+wait < e.returnAt {
+		e.returnAt = now + wait
 	}
-	e.at = max(1, now)
-	e.told = min(e.told+1, 1000)
+	e.lastAt = max(1, now)
+	e.away = min(e.away+1, 1000)
 	e.tries = min(e.tries+1, 100)
 }
 
-// served notes that a caller got through.
+// served records that a call of the caller was served.
 func (c *callers) served(now time.Duration, hash uint64) {
 	if e := c.find(now, hash); e != nil {
 		e.tries = 0
-		if e.told > 0 {
-			e.told--
+		if e.away > 0 {
+			e.away--
 		}
 	}
 }
--- a/internal/storm/cold.go
+++ b/internal/storm/cold.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// What a cold exchange may be sent while nothing is known of what it usually carries, as after the controller's
-// own restart. Its group was sized for traffic that both ends send, with room to spare, and others whose groups
-// are not known here send to it too: a part of what the group could carry is what is counted on.
+// Assumptions about the load of a cold exchange whose baseline is unknown, as after a restart of the controller.
+// Its trunk group is dimensioned for the traffic of both ends with spare capacity, and other exchanges, whose
+// groups are not known here, send to it too. So only a fraction of the group's capacity is counted on.
 const (
-	seedBusy = 0.5 // of a group's circuits, at the planned load
-	seedOurs = 0.5 // of its calls, this end's part
+	coldBusyShare  = 0.5 // share of a group's circuits that are busy at the planned load
+	coldLocalShare = 0.5 // share of its calls that originate at this end
 )
 
-// ColdSeed is how many set-ups a second an exchange is likely to get from here on usual days, by the circuits of
-// the group toward it and the mean length of a call; 0 if that tells nothing.
+// ColdSeed estimates the set-ups per second that an exchange normally receives from here, from the number of
+// circuits in the trunk group toward it and the mean duration of a call. It returns 0 if either is not positive.
 func ColdSeed(circuits float64, hold time.Duration) float64 {
 	if !(circuits > 0) || hold <= 0 {
 		return 0
 	}
-	return circuits * seedBusy * seedOurs / hold.Seconds()
+	return circuits * coldBusyShare * coldLocalShare / hold.Seconds()
 }
--- a/internal/storm/detect.go
+++ b/internal/storm/detect.go
@@ -7,34 +7,35 @@
 	"time"
 )
 
-// State is how stormy a scope is.
+// State is the storm state of a scope.
 type State int
 
 // The states of a scope.
 const (
 	Calm State = iota
 	Rising
-	Recovering // the storm is over, and its callers may still come together
+	Recovering // the storm has ended, but its callers may still retry together
 	Storming
 )
 
-// String returns the state's name.
+// String returns the state's name as logs and the management interface use it.
 func (s State) String() string { return [...]string{"calm", "rising", "recovering", "storm"}[s] }
 
-// Scope is what a state is of: the whole, a class, an exchange or a caller group.
+// Scope identifies what a state applies to. Kind is "all" for the whole controller, "class", "exchange", or "group"
+// for a caller group.
 type Scope struct{ Kind, Name string }
 
-// Figures are what a state goes by.
+// Figures are the measurements that determine a state.
 type Figures struct {
-	Offered, Usual float64 // calls a second: now, and as learnt
-	Redials        float64 // share of the calls offered
-	Links          float64 // new connections and associations a second
-	Window         float64 // calls that may be under way, of an exchange
-	Open           int     // calls that are
-	Wait           time.Duration
+	Offered, Usual float64       // calls per second: current, and the learnt baseline
+	Redials        float64       // share of redials among the calls offered
+	Links          float64       // new connections and associations per second
+	Window         float64       // of an exchange: maximum number of open calls
+	Open           int           // of an exchange: open calls
+	Wait           time.Duration // of an exchange: queueing delay of the last answered set-up
 }
 
-// Change is a scope's way from one state to another.
+// Change is a transition of a scope between states, or a rise of an exchange's signalled congestion level.
 type Change struct {
 	Scope    Scope
 	From, To State
@@ -43,148 +44,151 @@
 	Figures
 }
 
+// Time constants and thresholds of the detection.
 const (
-	fast      = time.Second      // memory of what is happening
-	slow      = 60 * time.Second // and of what is usual
-	learnFrom = 5 * time.Second  // less than so much of calm time makes no usual rate
-	leastRate = 5.0              // events a second: fewer are no storm, whatever their shares
-
-	risingOver = 1.3 // times the usual rate
-	stormOver  = 1.7
-	linksOver  = 2    // new connections, times the usual rate
-	risingPart = 0.15 // redials among the calls
-	stormPart  = 0.35
-	lateRising = 1500 * time.Millisecond // a state must be asked for so long: bursts are not storms
-	lateCalm   = 3 * time.Second         // and the way back for longer
-	calmAfter  = 8 * time.Second         // in recovering without a relapse
+	fastSpan    = time.Second      // time constant of the current rates
+	slowSpan    = 60 * time.Second // time constant of the baseline rates
+	minCalmTime = 5 * time.Second  // minimum calm time before there is a baseline rate
+	minRate     = 5.0              // events per second; fewer are no storm, whatever the share of redials
+
+	risingFactor      = 1.3 // times the baseline rate
+	stormFactor       = 1.7
+	linksFactor       = 2    // new connections, times the baseline rate
+	risingRedialShare = 0.15 // share of redials among the calls
+	stormRedialShare  = 0.35
+	riseDelay         = 1500 * time.Millisecond // a higher state must be indicated this long: a burst is no storm
+	fallDelay         = 3 * time.Second         // the same for a lower state
+	minRecovering     = 8 * time.Second         // minimum time in Recovering without a relapse
 )
 
-// meter follows one scope.
+// meter measures one scope and holds its state.
 type meter struct {
-	scope  Scope
-	state  State
-	since  time.Duration
-	now    rate
-	usual  usual
-	again  rate
-	links  rate
-	linked usual // links a second
-	wanted State
-	wantAt time.Duration
-	seen   time.Duration
+	scope          Scope
+	state          State
+	since          time.Duration
+	calls          rate
+	baseline       baseline
+	redials        rate
+	links          rate
+	linksBaseline  baseline // links per second
+	candidate      State
+	candidateSince time.Duration
+	lastCallAt     time.Duration
 }
 
-// offered counts a call.
+// offered counts a call and, if resent, a redial.
 func (m *meter) offered(now time.Duration, resent bool) {
-	m.seen = now
-	m.now.add(now, 1, fast)
+	m.lastCallAt = now
+	m.calls.add(now, 1, fastSpan)
 	if resent {
-		m.again.add(now, 1, fast)
+		m.redials.add(now, 1, fastSpan)
 	}
 }
 
-// figures are what there is to say.
+// figures returns the current measurements of the scope.
 func (m *meter) figures(now time.Duration) Figures {
-	offered := m.now.get(now, fast)
-	return Figures{Offered: offered, Usual: m.usual.rate(), Redials: share(m.again.get(now, fast), offered),
-		Links: m.links.get(now, fast)}
+	offered := m.calls.get(now, fastSpan)
+	return Figures{Offered: offered, Usual: m.baseline.rate(), Redials: share(m.redials.get(now, fastSpan), offered),
+		Links: m.links.get(now, fastSpan)}
 }
 
+// status returns the scope's state and figures, without the figures of an exchange's window.
 func (m *meter) status(now time.Duration) Status {
 	return Status{Scope: m.scope, State: m.state, Figures: m.figures(now)}
 }
 
-// enter moves to a state.
+// enter sets the state and restarts the hysteresis.
 func (m *meter) enter(now time.Duration, to State) {
-	m.state, m.since, m.wanted, m.wantAt = to, now, to, now
+	m.state, m.since, m.candidate, m.candidateSince = to, now, to, now
 }
 
-// judge tells which state a scope should be in, and why.
-func (m *meter) judge(now time.Duration) (State, string) {
+// evaluate returns the state that the current figures indicate, and its cause. It applies no hysteresis.
+func (m *meter) evaluate(now time.Duration) (State, string) {
 	f := m.figures(now)
-	over := 0.0
+	factor := 0.0
 	if f.Usual > 0 {
-		over = f.Offered / f.Usual
+		factor = f.Offered / f.Usual
 	}
 	switch {
-	case f.Offered < leastRate && f.Links < leastRate:
+	case f.Offered < minRate && f.Links < minRate:
 		return Calm, "few calls"
-	case f.Redials > stormPart:
+	case f.Redials > stormRedialShare:
 		return Storming, "redials"
-	case over > stormOver && f.Redials > risingPart:
-		return Storming, "calls and redials over the usual rate"
-	case over > risingOver:
-		return Rising, "calls over the usual rate"
-	case f.Redials > risingPart:
+	case factor > stormFactor && f.Redials > risingRedialShare:
+		return Storming, "calls and redials over the baseline rate"
+	case factor > risingFactor:
+		return Rising, "calls over the baseline rate"
+	case f.Redials > risingRedialShare:
 		return Rising, "redials"
-	case m.linked.rate() > 0 && f.Links > linksOver*max(m.linked.rate(), leastRate):
-		return Rising, "new connections over the usual rate"
+	case m.linksBaseline.rate() > 0 && f.Links > linksFactor*max(m.linksBaseline.rate(), minRate):
+		return Rising, "new connections over the baseline rate"
 	}
-	return Calm, "usual rate"
+	return Calm, "baseline rate"
 }
 
-// move changes a scope's state and notes it.
-func (s *Storm) move(now time.Duration, m *meter, to State, cause string) {
+// setState changes a scope's state and queues the change.
+func (s *Storm) setState(now time.Duration, m *meter, to State, cause string) {
 	if m.state == to {
 		return
 	}
-	s.note(Change{Scope: m.scope, From: m.state, To: to, Cause: cause, At: now, Figures: m.figures(now)})
+	s.addChange(Change{Scope: m.scope, From: m.state, To: to, Cause: cause, At: now, Figures: m.figures(now)})
 	m.enter(now, to)
 }
 
-// mostChanges are kept for the log until it takes them.
-const mostChanges = 64
+// maxChanges is the maximum number of changes kept between two calls of Tick; further ones are dropped.
+const maxChanges = 64
 
-func (s *Storm) note(c Change) {
-	if len(s.changes) < mostChanges {
+// addChange queues a change for the next Tick.
+func (s *Storm) addChange(c Change) {
+	if len(s.changes) < maxChanges {
 		s.changes = append(s.changes, c)
 	}
 }
 
-// follow moves a scope on, with hysteresis: up after a moment, down after a while, and from a storm to calm by
-// way of recovering.
-func (s *Storm) follow(now time.Duration, m *meter) {
-	want, cause := m.judge(now)
+// update learns the scope's baselines and applies the state transitions with hysteresis: up after riseDelay, down
+// after fallDelay, and from Storming to Calm through Recovering only.
+func (s *Storm) update(now time.Duration, m *meter) {
+	next, cause := m.evaluate(now)
 	f := m.figures(now)
-	m.usual.learn(now, f.Offered*(1-f.Redials), m.state == Calm && want == Calm)
-	m.linked.learn(now, f.Links, m.state == Calm && want == Calm)
-	if want != m.wanted {
-		m.wanted, m.wantAt = want, now
+	m.baseline.learn(now, f.Offered*(1-f.Redials), m.state == Calm && next == Calm)
+	m.linksBaseline.learn(now, f.Links, m.state == Calm && next == Calm)
+	if next != m.candidate {
+		m.candidate, m.candidateSince = next, now
 	}
-	held := now - m.wantAt
+	held := now - m.candidateSince
 	switch {
-	case want == Storming && m.state != Storming && held >= lateRising:
-		s.move(now, m, Storming, cause)
-	case want == Rising && m.state == Calm && held >= lateRising:
-		s.move(now, m, Rising, cause)
-	case want != Storming && m.state == Storming && held >= lateCalm:
-		s.move(now, m, Recovering, cause)
-	case want == Calm && m.state == Rising && held >= lateCalm:
-		s.move(now, m, Calm, cause)
-	case want == Calm && m.state == Recovering && now-m.since >= calmAfter && held >= lateCalm:
-		s.move(now, m, Calm, cause)
+	case next == Storming && m.state != Storming && held >= riseDelay:
+		s.setState(now, m, Storming, cause)
+	case next == Rising && m.state == Calm && held >= riseDelay:
+		s.setState(now, m, Rising, cause)
+	case next != Storming && m.state == Storming && held >= fallDelay:
+		s.setState(now, m, Recovering, cause)
+	case next == Calm && m.state == Rising && held >= fallDelay:
+		s.setState(now, m, Calm, cause)
+	case next == Calm && m.state == Recovering && now-m.since >= minRecovering && held >= fallDelay:
+		s.setState(now, m, Calm, cause)
 	}
 }
 
-// measure counts a call in all its scopes.
-func (s *Storm) measure(now time.Duration, o Offer, d *dest) {
+// count counts a call in all its scopes.
+func (s *Storm) count(now time.Duration, o Offer, d *dest) {
 	if o.Resent {
 		s.counts.Redials++
 	} else {
-		d.firsts.add(now, 1, fast)
+		d.firstTries.add(now, 1, fastSpan)
 	}
 	d.heavy.add(now, o.Number)
-	for _, m := range []*meter{&s.whole, &s.classes[o.Class], &d.meter, s.group(o.Group)} {
+	for _, m := range []*meter{&s.total, &s.classes[o.Class], &d.meter, s.groupMeter(o.Group)} {
 		m.offered(now, o.Resent)
 	}
 }
 
-// group is a caller group's meter. Where too many are followed, new ones share one until some have been silent for
-// a while: what they do still counts in all other scopes.
-func (s *Storm) group(hash uint64) *meter {
+// groupMeter returns the meter of a caller group. When maxGroups groups are tracked, new ones share otherGroups until
+// some groups have sent no calls for groupTTL; their calls still count in all other scopes.
+func (s *Storm) groupMeter(hash uint64) *meter {
 	m := s.groups[hash]
-	if m == nil && len(s.groups) >= mostGroups {
-		return &s.others
+	if m == nil && len(s.groups) >= maxGroups {
+		return &s.otherGroups
 	}
 	if m == nil {
 		m = &meter{scope: Scope{"group", fmt.Sprintf("%016x", hash)}}
@@ -193,36 +197,38 @@
 	return m
 }
 
-// Linked counts a new connection or association of a caller group.
+// Linked records a new connection or association of a caller group.
 func (s *Storm) Linked(now time.Duration, group uint64) {
-	now = s.tick(now)
-	s.whole.links.add(now, 1, fast)
-	s.group(group).links.add(now, 1, fast)
+	now = s.advance(now)
+	s.total.links.add(now, 1, fastSpan)
+	s.groupMeter(group).links.add(now, 1, fastSpan)
 }
 
-// Tick follows all scopes; it is called a few times a second. It returns the changes since the last time.
+// Tick updates the states of all scopes and returns the changes since the previous call. The caller invokes it a few
+// times per second.
 func (s *Storm) Tick(now time.Duration) []Change {
-	now = s.tick(now)
-	s.follow(now, &s.whole)
+	now = s.advance(now)
+	s.update(now, &s.total)
 	for i := range s.classes {
-		s.follow(now, &s.classes[i])
+		s.update(now, &s.classes[i])
 	}
 	for _, d := range s.dests {
-		s.follow(now, &d.meter)
+		s.update(now, &d.meter)
 	}
 	for hash, m := range s.groups {
-		if s.follow(now, m); now-m.seen > groupForget && m.state == Calm {
+		if s.update(now, m); now-m.lastCallAt > groupTTL && m.state == Calm {
 			delete(s.groups, hash)
 		}
 	}
-	s.follow(now, &s.others)
+	s.update(now, &s.otherGroups)
 	out := s.changes
 	s.changes = nil
-	// In the order of their times and scopes, whatever map they came from.
+	// Sort by time and scope, so that the order does not depend on map iteration.
 	slices.SortStableFunc(out, func(a, b Change) int {
 		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Scope.Kind, b.Scope.Kind), cmp.Compare(a.Scope.Name, b.Scope.Name))
 	})
 	return out
 }
 
-const groupForget = 30 * time.Second
+// groupTTL is how long a calm caller group is tracked after its last call.
+const groupTTL = 30 * time.Second
--- a/internal/storm/heavy.go
+++ b/internal/storm/heavy.go
@@ -5,70 +5,71 @@
 	"time"
 )
 
-// heavy finds the numbers that take more than their part of a destination's calls, in bounded memory: the
-// space-saving sketch of Metwally, Agrawal and El Abbadi (2005). Counts fade by forward decay: what comes later
-// weighs more, so that no line has to be touched as time goes by.
+// heavy finds the numbers that receive a large share of a destination's calls, in bounded memory, with the
+// space-saving sketch of Metwally, Agrawal and El Abbadi (2005). Counts decay by forward decay: later calls weigh
+// more, so that no counter has to be updated as time passes.
 type heavy struct {
-	lines [mostHeavy]heavyLine
-	all   float64
-	zero  time.Duration // when a call weighed 1
-	begun bool
+	counters [heavyCounters]heavyCounter
+	total    float64
+	epoch    time.Duration // time at which a call has the weight 1
+	started  bool
 }
 
-type heavyLine struct {
-	number uint64
-	level  float64
-	over   float64 // what the line may have taken over from others
+// heavyCounter is the decayed count of one number.
+type heavyCounter struct {
+	number    uint64
+	count     float64
+	overcount float64 // upper bound of the part of count that was inherited from the replaced number
 }
 
 const (
-	heavyPart  = 0.3  // of a destination's calls
-	heavyLeast = 5.0  // calls a second
-	heavyScale = 1e12 // weights are brought down before they grow over this
+	minHeavyShare  = 0.3  // minimum share of a destination's calls
+	minHeavyRate   = 5.0  // minimum rate in calls per second
+	maxHeavyWeight = 1e12 // weights are rescaled before they exceed this
 )
 
-// weight is what a call weighs now.
+// weight returns the weight of a call at this time. It rescales all counts when the weight grows too large.
 func (h *heavy) weight(now time.Duration) float64 {
-	if !h.begun {
-		h.begun, h.zero = true, now
+	if !h.started {
+		h.started, h.epoch = true, now
 	}
-	w := math.Exp(float64(now-h.zero) / float64(fast))
-	if w > heavyScale {
-		for i := range h.lines {
-			h.lines[i].level /= w
-			h.lines[i].over /= w
+	w := math.Exp(float64(now-h.epoch) / float64(fastSpan))
+	if w > maxHeavyWeight {
+		for i := range h.counters {
+			h.counters[i].count /= w
+			h.counters[i].overcount /= w
 		}
-		h.all /= w
-		h.zero, w = now, 1
+		h.total /= w
+		h.epoch, w = now, 1
 	}
 	return w
 }
 
-// add counts a call.
+// add counts a call to a number. A number without a counter takes over the smallest one.
 func (h *heavy) add(now time.Duration, number uint64) {
 	w := h.weight(now)
-	h.all += w
-	least := &h.lines[0]
-	for i := range h.lines {
-		l := &h.lines[i]
-		if l.number == number {
-			l.level += w
+	h.total += w
+	smallest := &h.counters[0]
+	for i := range h.counters {
+		c := &h.counters[i]
+		if c.number == number {
+			c.count += w
 			return
 		}
-		if l.level < least.level {
-			least = l
+		if c.count < smallest.count {
+			smallest = c
 		}
 	}
-	least.number, least.over = number, least.level
-	least.level += w
+	smallest.number, smallest.overcount = number, smallest.count
+	smallest.count += w
 }
 
-// is tells whether a number is heavy for certain.
-func (h *heavy) is(now time.Duration, number uint64) bool {
-	for i := range h.lines {
-		if l := &h.lines[i]; l.number == number {
-			sure := l.level - l.over
-			return sure > heavyLeast*fast.Seconds()*h.weight(now) && sure > heavyPart*h.all
+// isHeavy reports whether a number exceeds both thresholds even if the whole possible overcount is deducted.
+func (h *heavy) isHeavy(now time.Duration, number uint64) bool {
+	for i := range h.counters {
+		if c := &h.counters[i]; c.number == number {
+			certain := c.count - c.overcount
+			return certain > minHeavyRate*fastSpan.Seconds()*h.weight(now) && certain > minHeavyShare*h.total
 		}
 	}
 	return false
--- a/internal/storm/pace.go
+++ b/internal/storm/pace.go
@@ -5,136 +5,138 @@
 	"time"
 )
 
-// Pace is that of new connections.
+// Pace is the rate limit of new connections.
 type Pace struct {
-	PerSecond float64 // in all
-	Burst     int     // that may come at once
-	Waiting   int     // that may wait for their turn
+	PerSecond float64 // of all caller groups together
+	Burst     int     // maximum number admitted at once
+	Waiting   int     // maximum number of queued connections
 }
 
+// Limits of a Pacer's tables and queues.
 const (
-	mostPaced   = 256 // caller groups followed at a time
-	sharedLines = 64  // and lines for those over that
-	pacedForget = 5 * time.Second
-	pacedLatest = 2 * time.Second // nobody waits longer: its caller gives up
+	maxPacedGroups = 256             // caller groups tracked at a time
+	sharedQueues   = 64              // additional queues, shared by the groups beyond maxPacedGroups
+	pacedGroupTTL  = 5 * time.Second // idle time after which a group may be dropped
+	maxPacedWait   = 2 * time.Second // longer waits are useless: the caller has timed out
 )
 
-// Pacer gives new connections their turn, with fair shares between caller groups: the next turn goes to the group
-// that had the fewest of late, so that one which reconnects by thousands waits behind itself. Use NewPacer. It is
-// not safe for concurrent use.
+// Pacer limits the rate of new connections, with fair queueing between caller groups: the next token goes to the
+// group with the lowest recent rate, so that a group with thousands of reconnects only delays itself. Create it with
+// NewPacer. It is not safe for concurrent use.
 type Pacer struct {
 	Pace
-	tokens  float64
-	at      time.Duration
-	begun   bool
-	groups  map[uint64]*paced
-	waiting int
-	Refused int // connections without a place to wait
+	tokens    float64
+	updatedAt time.Duration
+	started   bool
+	groups    map[uint64]*pacedGroup
+	queued    int
+	Rejected  int // connections rejected because the queue was full
 }
 
-// paced is what a group had of late.
-type paced struct {
-	taken   rate
-	waiting []Turn
+// pacedGroup holds the recent rate and the queue of a caller group.
+type pacedGroup struct {
+	served rate
+	queue  []Waiter
 }
 
-// Turn is a connection that waits.
-type Turn struct {
-	ID    uint64
-	until time.Duration
+// Waiter is a queued connection.
+type Waiter struct {
+	ID       uint64
+	deadline time.Duration
 }
 
-// NewPacer returns a Pacer, or an error that names what can't be served.
+// NewPacer returns a Pacer, or an error if the pace is invalid.
 func NewPacer(p Pace) (*Pacer, error) {
 	if p.PerSecond <= 0 || p.Burst < 1 || p.Waiting < 0 {
-		return nil, fmt.Errorf("storm: a pace of %v a second in bursts of %d, %d waiting", p.PerSecond, p.Burst, p.Waiting)
+		return nil, fmt.Errorf("storm: invalid pace: %v per second, burst %d, %d waiting", p.PerSecond, p.Burst, p.Waiting)
 	}
-	return &Pacer{Pace: p, groups: map[uint64]*paced{}}, nil
+	return &Pacer{Pace: p, groups: map[uint64]*pacedGroup{}}, nil
 }
 
-// fill adds the turns that have come.
-func (p *Pacer) fill(now time.Duration) {
-	if !p.begun {
-		p.begun, p.tokens, p.at = true, float64(p.Burst), now
+// refill adds the tokens accrued since the last update.
+func (p *Pacer) refill(now time.Duration) {
+	if !p.started {
+		p.started, p.tokens, p.updatedAt = true, float64(p.Burst), now
 	}
-	if now > p.at {
-		p.tokens = min(float64(p.Burst), p.tokens+p.PerSecond*(now-p.at).Seconds())
-		p.at = now
+	if now > p.updatedAt {
+		p.tokens = min(float64(p.Burst), p.tokens+p.PerSecond*(now-p.updatedAt).Seconds())
+		p.updatedAt = now
 	}
 }
 
-// group is a caller group's line. Where too many are followed, those that share a line by their hash share its
-// turns too.
-func (p *Pacer) group(now time.Duration, hash uint64) *paced {
+// group returns the state of a caller group. Beyond maxPacedGroups, groups are mapped by hash to shared queues and
+// share the tokens of their queue too.
+func (p *Pacer) group(now time.Duration, hash uint64) *pacedGroup {
 	if g := p.groups[hash]; g != nil {
 		return g
 	}
-	if len(p.groups) >= mostPaced {
+	if len(p.groups) >= maxPacedGroups {
 		for h, g := range p.groups {
-			if len(g.waiting) == 0 && now-g.taken.at > pacedForget {
+			if len(g.queue) == 0 && now-g.served.at > pacedGroupTTL {
 				delete(p.groups, h)
 			}
 		}
 	}
-	if len(p.groups) >= mostPaced {
-		if hash %= sharedLines; p.groups[hash] != nil {
+	if len(p.groups) >= maxPacedGroups {
+		if hash %= sharedQueues; p.groups[hash] != nil {
 			return p.groups[hash]
 		}
 	}
-	g := &paced{}
+	g := &pacedGroup{}
 	p.groups[hash] = g
 	return g
 }
 
-// Come takes a new connection. It is served now, or waits until Next names it, or has no place at all.
+// Come handles a new connection of a caller group: it is served at once, or it is queued and waits until Next returns
+// its id, or it is rejected, with both results false.
 func (p *Pacer) Come(now time.Duration, hash, id uint64) (served, waits bool) {
-	p.fill(now)
+	p.refill(now)
 	g := p.group(now, hash)
-	if p.tokens >= 1 && p.waiting == 0 {
+	if p.tokens >= 1 && p.queued == 0 {
 		p.tokens--
-		g.taken.add(now, 1, fast)
+		g.served.add(now, 1, fastSpan)
 		return true, false
 	}
-	if p.waiting >= p.Waiting || len(g.waiting) > p.Waiting/2 {
-		p.Refused++ // half the places are for other groups
+	if p.queued >= p.Waiting || len(g.queue) > p.Waiting/2 {
+		p.Rejected++ // a group may use about half of the queue; the rest is for other groups
 		return false, false
 	}
-	g.waiting = append(g.waiting, Turn{id, now + pacedLatest})
-	p.waiting++
+	g.queue = append(g.queue, Waiter{id, now + maxPacedWait})
+	p.queued++
 	return false, true
 }
 
-// Next returns the connections whose turn has come, those that have waited too long, and when to ask again: 0
-// if none waits.
-func (p *Pacer) Next(now time.Duration) (served, late []uint64, again time.Duration) {
-	p.fill(now)
-	for p.waiting > 0 {
-		var next *paced
-		var least float64
+// Next removes and returns the queued connections that are served now and those whose wait has expired, and how long
+// to wait before the next call: 0 if the queue is empty.
+func (p *Pacer) Next(now time.Duration) (served, expired []uint64, retryIn time.Duration) {
+	p.refill(now)
+	for p.queued > 0 {
+		var next *pacedGroup
+		var lowest float64
 		for _, g := range p.groups {
-			for len(g.waiting) > 0 && now >= g.waiting[0].until {
-				late = append(late, g.waiting[0].ID)
-				g.waiting = g.waiting[1:]
-				p.waiting--
+			for len(g.queue) > 0 && now >= g.queue[0].deadline {
+				expired = append(expired, g.queue[0].ID)
+				g.queue = g.queue[1:]
+				p.queued--
 			}
-			if len(g.waiting) == 0 {
+			if len(g.queue) == 0 {
 				continue
 			}
-			if had := g.taken.get(now, fast); next == nil || had < least || had == least && g.waiting[0].ID < next.waiting[0].ID {
-				next, least = g, had
+			if r := g.served.get(now, fastSpan); next == nil || r < lowest || r == lowest && g.queue[0].ID < next.queue[0].ID {
+				next, lowest = g, r
 			}
 		}
 		if next == nil {
 			break
 		}
 		if p.tokens < 1 {
-			return served, late, max(time.Millisecond, time.Duration((1-p.tokens)/p.PerSecond*float64(time.Second)))
+			return served, expired, max(time.Millisecond, time.Duration((1-p.tokens)/p.PerSecond*float64(time.Second)))
 		}
 		p.tokens--
-		served = append(served, next.waiting[0].ID)
-		next.waiting = next.waiting[1:]
-		next.taken.add(now, 1, fast)
-		p.waiting--
+		served = append(served, next.queue[0].ID)
+		next.queue = next.queue[1:]
+		next.served.add(now, 1, fastSpan)
+		p.queued--
 	}
-	return served, late, 0
+	return served, expired, 0
 }
--- a/internal/storm/rate.go
+++ b/internal/storm/rate.go
@@ -5,20 +5,19 @@
 	"time"
 )
 
-// rate is how often something happens, in events a second: a mean in which what is older counts for less. The
-// zero value has seen nothing.
+// rate is an exponentially decaying average of events per second. The zero value is a rate of 0.
 type rate struct {
 	level float64
 	at    time.Duration
 }
 
-// add counts n events now, with a memory of about span.
+// add counts n events at now, with the time constant span.
 func (r *rate) add(now time.Duration, n float64, span time.Duration) {
 	r.level = r.get(now, span) + n/span.Seconds()
 	r.at = now
 }
 
-// get is the rate now. A clock that went back makes nothing older.
+// get returns the rate at now. If the clock stepped back, the rate does not decay.
 func (r *rate) get(now, span time.Duration) float64 {
 	if now <= r.at {
 		return r.level
@@ -26,35 +25,35 @@
 	return r.level * math.Exp(-float64(now-r.at)/float64(span))
 }
 
-// usual is a rate learnt in calm times: what comes in a storm must not become the usual, and what was learnt
-// before it is not lost.
-type usual struct {
+// baseline is a rate learnt in calm periods only, so that the rate of a storm does not become the baseline and what
+// was learnt before a storm is kept.
+type baseline struct {
 	level, weight float64
-	learnt        time.Duration // of calm time
-	at            time.Duration
+	calmTime      time.Duration // total time learnt from
+	updatedAt     time.Duration
 }
 
-// learn takes the rate since the last time, where times are calm.
-func (u *usual) learn(now time.Duration, r float64, calm bool) {
-	span := max(0, now-u.at)
-	if u.at = max(u.at, now); !calm || span > slow { // the first time, or long ago: nothing is known of the time between
+// learn adds the rate r for the time since the previous call, if that time was calm.
+func (b *baseline) learn(now time.Duration, r float64, calm bool) {
+	span := max(0, now-b.updatedAt)
+	if b.updatedAt = max(b.updatedAt, now); !calm || span > slowSpan { // after the first call or a long gap the time between is unknown
 		return
 	}
-	part := 1 - math.Exp(-float64(span)/float64(slow))
-	u.level += part * (r - u.level)
-	u.weight += part * (1 - u.weight)
-	u.learnt += span
+	alpha := 1 - math.Exp(-float64(span)/float64(slowSpan))
+	b.level += alpha * (r - b.level)
+	b.weight += alpha * (1 - b.weight)
+	b.calmTime += span
 }
 
-// rate is what was learnt, 0 while that is too little.
-func (u *usual) rate() float64 {
-	if u.learnt < learnFrom {
+// rate returns the learnt rate, or 0 before minCalmTime of calm time.
+func (b *baseline) rate() float64 {
+	if b.calmTime < minCalmTime {
 		return 0
 	}
-	return u.level / u.weight
+	return b.level / b.weight
 }
 
-// share is a/b, 0 if there is nothing to compare with.
+// share returns a/b, or 0 if b is not positive.
 func share(a, b float64) float64 {
 	if b <= 0 {
 		return 0
--- a/internal/storm/storm.go
+++ b/internal/storm/storm.go
@@ -1,12 +1,13 @@
-// Package storm sees storms of retries and reconnects, damps them, and says when those sent away should come
-// back. A storm is more than a load: callers who failed come again, together, and what they ask for in vain keeps
-// a processor too busy to serve anybody in time, also after its cause has gone.
+// Package storm detects and damps storms of retries and reconnects, and computes when rejected callers should
+// retry. A storm is more than a high load: failed callers retry together, and their retries keep a processor too
+// busy to serve any call in time, even after the original cause is gone.
 //
-// The package owns the learnt usual rates, the state of each scope, the windows toward destinations, the retry
-// budgets, what callers were told, and the turns of new connections. It decides only: no I/O, no clock, no
-// goroutine. Each method takes the present time on the caller's clock and is handed what happened; every table
-// has a fixed size. It must not know any wire, any route, or how the decision module chooses: it stands before
-// that module and turns calls away that would only make others late.
+// The package owns the learnt baseline rates, the state of each scope, the windows toward destinations, the retry
+// budgets, the retry advice given to callers, and the admission order of new connections. It only makes decisions:
+// it does no I/O, reads no clock and starts no goroutine. Each method takes the current time on the caller's clock
+// and the event that occurred; every table has a fixed maximum size. The package does not depend on wire formats,
+// routes, or the way the decision module chooses: it runs before that module and rejects calls that would only
+// delay others.
 package storm
 
 import (
@@ -15,132 +16,132 @@
 	"time"
 )
 
-// Class is what storm has to know of a class of call.
+// Class holds the properties of a class of calls that storm uses.
 type Class struct {
 	Name  string
-	Aim   time.Duration // a set-up within this time earns the full worth
+	Aim   time.Duration // a set-up that completes within this time earns the full worth
 	Worth float64
 }
 
-// Config is what a Storm is made of.
+// Config holds the settings of a Storm.
 type Config struct {
 	Classes   []Class
-	Instances int           // controllers in service
-	MaxWait   time.Duration // longest wait that callers may be told, 0 if none may
+	Instances int           // number of controllers in service
+	MaxWait   time.Duration // maximum wait that callers may be given, 0 if they may be given none
 	Seed      uint64
 
-	// Each part can be switched off alone.
+	// Each mechanism can be switched off on its own.
 	Window, Budget, Advice, Callers, Cold bool
 
-	Target float64 // part of the shortest aim that a set-up may wait in line, 0 for the usual one
+	Target float64 // maximum queueing delay of a set-up, as a fraction of the shortest Aim; 0 for the default
 }
 
-// The bounds of tables that names from outside could fill.
+// Maximum sizes of the tables whose keys come from outside.
 const (
-	mostDests  = 1024
-	mostGroups = 512
-	mostHeavy  = 64
+	maxDests      = 1024
+	maxGroups     = 512
+	heavyCounters = 64
 )
 
-const usualTarget = 0.25
+// defaultTarget is the value of Config.Target when it is 0.
+const defaultTarget = 0.25
 
-// Reason says why a call is turned away.
+// Reason is the reason why a call is rejected.
 type Reason int
 
-// The reasons of a Verdict.
+// The reasons of a Verdict. Admitted marks a call that is not rejected.
 const (
 	Admitted  Reason = iota
 	NoRoom           // the destination's window is full
-	CameEarly        // a caller who ignores advice, while there is not room for all
-	reasons
+	CameEarly        // the caller ignores retry advice, and its share of the window is full
+	numReasons
 )
 
-// String returns the reason's name.
+// String returns the reason as it appears in logs.
 func (r Reason) String() string {
 	return [...]string{"admitted", "no room", "advice ignored"}[r]
 }
 
-// Offer is a call that has come.
+// Offer describes an incoming call.
 type Offer struct {
 	Class   int
 	Dest    int
 	Group   uint64 // hash of the caller group: an address or a point code
-	Caller  uint64 // hash of what the tries of one caller have in common
-	Number  uint64 // hash of the number called
-	Resent  bool   // its caller says that it is a further try
+	Caller  uint64 // hash of what all tries of one caller have in common
+	Number  uint64 // hash of the called number
+	Resent  bool   // the caller marked the call as a further try
 	Transit bool
 }
 
-// Verdict is what becomes of it.
+// Verdict is the decision on an Offer.
 type Verdict struct {
 	Reason Reason
-	Wait   time.Duration // how long its caller should stay away, if it is turned away
+	Wait   time.Duration // time until the caller should retry, if the call is rejected
 }
 
-// Admit tells whether the call goes on to the decision module.
+// Admit reports whether the call proceeds to the decision module.
 func (v Verdict) Admit() bool { return v.Reason == Admitted }
 
-// dest is a destination exchange.
+// dest holds the window, the retry budget and the rates of a destination exchange.
 type dest struct {
 	window
 	meter
 	budget
-	away    rate // callers who were told to stay away
-	refused rate // first tries without room
-	firsts  rate
-	served  rate
-	heavy   heavy
+	away       rate // callers given a wait, averaged over awaySpan
+	rejected   rate // first tries rejected because the window was full
+	firstTries rate
+	served     rate
+	heavy      heavy
 }
 
-// Counts are totals since the start, by Reason, and of what was found.
+// Counts holds totals since the start.
 type Counts struct {
-	Offered, Redials, Ignorers int
-	Turned                     [reasons]int
-	Vetoed                     int // further attempts that no budget paid for
-	Ramps                      int
+	Offered, Redials, Ignorers int             // calls, those marked as further tries, those of callers that ignore advice
+	Turned                     [numReasons]int // rejected calls
+	Vetoed                     int             // further attempts denied by a retry budget
+	Ramps                      int             // ramp-ups restarted after an outage or with a new processor
 }
 
-// Storm is the whole of it for one controller. Use New. It is not safe for concurrent use.
+// Storm is the storm protection of one controller. Create it with New. It is not safe for concurrent use.
 type Storm struct {
 	Config
-	begun   time.Duration // when the first event came, -1 before
-	now     time.Duration
-	target  time.Duration
-	worth   float64 // mean worth of the calls offered
-	dests   map[int]*dest
-	classes []meter
-	groups  map[uint64]*meter
-	others  meter // of groups over those that are followed
-	whole   meter
-	budget  budget
-	callers callers
-	adviser adviser
-	changes []Change
-	counts  Counts
+	startedAt   time.Duration // time of the first event, -1 before it
+	now         time.Duration
+	target      time.Duration
+	meanWorth   float64 // moving average over the calls offered
+	dests       map[int]*dest
+	classes     []meter
+	groups      map[uint64]*meter
+	otherGroups meter // shared by the caller groups beyond maxGroups
+	total       meter
+	budget      budget
+	callers     callers
+	adviser     adviser
+	changes     []Change
+	counts      Counts
 }
 
-// New returns a Storm that knows nothing but its settings, or an error that names the entry that can't be
-// served.
+// New returns a Storm with these settings and no measurements, or an error that names the invalid setting.
 func New(c Config) (*Storm, error) {
-	s := &Storm{begun: -1, dests: map[int]*dest{}, groups: map[uint64]*meter{}, adviser: newAdviser(c.Seed)}
-	s.whole.scope, s.others.scope = Scope{"all", ""}, Scope{"group", "others"}
-	if err := s.use(c); err != nil {
+	s := &Storm{startedAt: -1, dests: map[int]*dest{}, groups: map[uint64]*meter{}, adviser: newAdviser(c.Seed)}
+	s.total.scope, s.otherGroups.scope = Scope{"all", ""}, Scope{"group", "others"}
+	if err := s.apply(c); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-// use takes settings.
-func (s *Storm) use(c Config) error {
+// apply validates the settings and puts them in force. It adds a meter for each new class.
+func (s *Storm) apply(c Config) error {
 	if c.Target < 0 || c.Target > 1 {
-		return fmt.Errorf("storm: target %v is not a part of an aim", c.Target)
+		return fmt.Errorf("storm: target %v is not between 0 and 1", c.Target)
 	} else if len(c.Classes) == 0 {
-		return fmt.Errorf("storm: classes are missing")
+		return fmt.Errorf("storm: no classes are configured")
 	} else if c.MaxWait < 0 {
-		return fmt.Errorf("storm: longest wait is %v", c.MaxWait)
+		return fmt.Errorf("storm: maximum wait %v is negative", c.MaxWait)
 	}
 	if c.Target == 0 {
-		c.Target = usualTarget
+		c.Target = defaultTarget
 	}
 	aim := c.Classes[0].Aim
 	for _, k := range c.Classes {
@@ -153,42 +154,44 @@
 	return nil
 }
 
-// Configure puts other settings in force; what was learnt stays. Classes keep their places.
+// Configure replaces the settings and keeps all measurements. Classes keep their indexes; it returns an error if
+// there are fewer classes than before.
 func (s *Storm) Configure(c Config) error {
 	if len(c.Classes) < len(s.Classes) {
-		return fmt.Errorf("storm: the places of classes stay for good")
+		return fmt.Errorf("storm: configured classes cannot be removed")
 	}
-	return s.use(c)
+	return s.apply(c)
 }
 
-// tick moves on. A clock that went back stands still until it is back.
-func (s *Storm) tick(now time.Duration) time.Duration {
-	if s.begun < 0 {
-		s.begun, s.now = now, now
-		s.note(Change{Scope: s.whole.scope, From: Calm, To: Recovering, Cause: "own start", At: now})
-		s.whole.enter(now, Recovering)
+// advance moves the current time forward to now and returns it. If the clock stepped back, the current time stays
+// as it is until the clock has caught up. The first call records the start.
+func (s *Storm) advance(now time.Duration) time.Duration {
+	if s.startedAt < 0 {
+		s.startedAt, s.now = now, now
+		s.addChange(Change{Scope: s.total.scope, From: Calm, To: Recovering, Cause: "controller start", At: now})
+		s.total.enter(now, Recovering)
 	}
 	s.now = max(s.now, now)
 	return s.now
 }
 
-// dest returns a destination, made when first heard of. Only the list names destinations, and it is bounded
-// here all the same.
+// dest returns the state of a destination and creates it on first use. Destinations come from the membership list
+// only, but the table is bounded here as well: beyond maxDests the state returned is not kept.
 func (s *Storm) dest(number int) *dest {
 	d := s.dests[number]
 	if d == nil {
 		d = &dest{}
 		d.meter.scope = Scope{"exchange", fmt.Sprint(number)}
-		d.first = max(windowLeast, windowFirst/float64(max(1, s.Instances)))
+		d.rampSize = max(minWindow, initialWindow/float64(max(1, s.Instances)))
 		d.ramp()
-		if len(s.dests) < mostDests {
+		if len(s.dests) < maxDests {
 			s.dests[number] = d
 		}
 	}
 	return d
 }
 
-// rank is where a call stands among those that want room.
+// rank returns the rank of a call, which sets the share of the window open to it.
 func (s *Storm) rank(o Offer, ignorer, heavy bool) rank {
 	switch {
 	case o.Transit:
@@ -197,7 +200,7 @@
 		return rankIgnorer
 	case o.Resent:
 		return rankRedial
-	case s.Classes[o.Class].Worth > worthier*s.worth:
+	case s.Classes[o.Class].Worth > worthyFactor*s.meanWorth:
 		return rankWorthy
 	case heavy:
 		return rankHeavy
@@ -206,24 +209,25 @@
 }
 
 const (
-	worthier  = 1.5  // times the mean worth
-	worthPart = 0.02 // weight of one call in the mean worth
+	worthyFactor    = 1.5  // times the mean worth
+	meanWorthWeight = 0.02 // weight of one call in the mean worth
 )
 
-// Offered takes a call and decides whether it goes on. One that does counts as under way until Stood, or Over.
+// Offered decides whether an incoming call is admitted. An admitted call counts as open until Stood or Over is
+// called for it.
 func (s *Storm) Offered(now time.Duration, o Offer) Verdict {
-	now = s.tick(now)
+	now = s.advance(now)
 	d := s.dest(o.Dest)
 	s.counts.Offered++
 	worth := s.Classes[o.Class].Worth
-	if s.worth == 0 {
-		s.worth = worth
+	if s.meanWorth == 0 {
+		s.meanWorth = worth
 	}
-	s.worth += worthPart * (worth - s.worth)
+	s.meanWorth += meanWorthWeight * (worth - s.meanWorth)
 	ignorer, tries := false, 0
 	if !o.Transit {
-		ignorer, tries = s.callers.came(now, o.Caller, o.Resent)
-		s.measure(now, o, d)
+		ignorer, tries = s.callers.recordTry(now, o.Caller, o.Resent)
+		s.count(now, o, d)
 	}
 	if ignorer {
 		s.counts.Ignorers++
@@ -232,13 +236,13 @@
 		ignorer = false
 	}
 	v := Verdict{}
-	if r := s.rank(o, ignorer, d.heavy.is(now, o.Number)); s.Window && !d.fits(now, r) {
+	if r := s.rank(o, ignorer, d.heavy.isHeavy(now, o.Number)); s.Window && !d.admits(now, r) {
 		v.Reason = NoRoom
 		if r == rankIgnorer {
 			v.Reason = CameEarly
 		}
 		if r == rankFirst || r == rankWorthy {
-			d.refused.add(now, 1, fast)
+			d.rejected.add(now, 1, fastSpan)
 		}
 	}
 	if v.Reason != Admitted {
@@ -252,9 +256,9 @@
 	return v
 }
 
-// Advise returns how long a caller whom the decision module turns away should stay away.
+// Advise returns the wait for a caller that the decision module rejects.
 func (s *Storm) Advise(now time.Duration, number int, caller uint64) time.Duration {
-	now = s.tick(now)
+	now = s.advance(now)
 	tries := 0
 	if e := s.callers.find(now, caller); e != nil {
 		tries = int(e.tries)
@@ -262,29 +266,29 @@
 	return s.advise(now, s.dest(number), caller, tries)
 }
 
-// advise draws a wait and remembers it.
+// advise draws a wait for a rejected caller and records it.
 func (s *Storm) advise(now time.Duration, d *dest, caller uint64, tries int) time.Duration {
 	if !s.Advice {
 		return s.MaxWait
 	}
-	d.away.add(now, 1, awayFor)
-	spare := d.served.get(now, fast)
-	spare = max(spare-d.firsts.get(now, fast), spareLeast*spare, 1)
-	wait := s.adviser.draw(d.away.get(now, awayFor)*awayFor.Seconds(), spare, tries, s.MaxWait)
-	s.callers.tell(now, caller, wait)
+	d.away.add(now, 1, awaySpan)
+	spare := d.served.get(now, fastSpan)
+	spare = max(spare-d.firstTries.get(now, fastSpan), minSpareShare*spare, 1)
+	wait := s.adviser.draw(d.away.get(now, awaySpan)*awaySpan.Seconds(), spare, tries, s.MaxWait)
+	s.callers.recordWait(now, caller, wait)
 	return wait
 }
 
-// awayFor is how long callers count as staying away.
-const awayFor = 2 * time.Second
+// awaySpan is how long callers count as staying away after they are given a wait.
+const awaySpan = 2 * time.Second
 
-// Sent takes a set-up that goes out, direct or not, and tells whether it may where it is a further attempt of
-// its call.
+// Sent records an outgoing set-up, direct or through a tandem, and reports whether it may be sent. Only a further
+// attempt of a call can be denied, when a retry budget is exhausted.
 func (s *Storm) Sent(now time.Duration, number int, further bool) bool {
-	now = s.tick(now)
+	now = s.advance(now)
 	d := s.dest(number)
 	if further && s.Budget {
-		if !d.budget.has(now) || !s.budget.has(now) {
+		if !d.budget.available(now) || !s.budget.available(now) {
 			s.counts.Vetoed++
 			return false
 		}
@@ -295,12 +299,13 @@
 	return true
 }
 
-// Stood takes a set-up that stood: it was under way, and direct if its time tells of the destination.
+// Stood records that a set-up of an open call was answered after took. direct reports whether the set-up went
+// straight to the destination, so that took measures the destination alone.
 func (s *Storm) Stood(now time.Duration, number int, caller uint64, took time.Duration, direct bool) {
-	now = s.tick(now)
+	now = s.advance(now)
 	d := s.dest(number)
 	d.open = max(0, d.open-1)
-	d.served.add(now, 1, fast)
+	d.served.add(now, 1, fastSpan)
 	d.earn(now)
 	s.budget.earn(now)
 	s.callers.served(now, caller)
@@ -311,71 +316,72 @@
 	}
 }
 
-// Failed takes a set-up that a full processor turned away, or that was lost.
-func (s *Storm) Failed(now time.Duration, number int) { s.dest(number).back(s.tick(now)) }
+// Failed records a set-up that a full processor rejected, or that was lost.
+func (s *Storm) Failed(now time.Duration, number int) { s.dest(number).backOff(s.advance(now)) }
 
-// Over takes a call that was under way and got another end than that it stands.
+// Over records that an open call ended without being answered.
 func (s *Storm) Over(now time.Duration, number int) {
-	s.tick(now)
+	s.advance(now)
 	d := s.dest(number)
 	d.open = max(0, d.open-1)
 }
 
-// Congested takes the congestion level that an exchange itself has told (Q.763, 3.4, or RFC 4666, 3.4.4).
+// Congested records the congestion level signalled by an exchange (Q.763, 3.4, or RFC 4666, 3.4.4).
 func (s *Storm) Congested(now time.Duration, number, level int) {
-	now = s.tick(now)
+	now = s.advance(now)
 	d := s.dest(number)
-	was := d.level
-	if d.congested(now, level); level > was {
-		s.note(Change{Scope: d.meter.scope, From: d.state, To: d.state, Cause: fmt.Sprintf("congestion level %d told", d.level),
+	before := d.level
+	if d.congested(now, level); level > before {
+		s.addChange(Change{Scope: d.meter.scope, From: d.state, To: d.state, Cause: fmt.Sprintf("congestion level %d told", d.level),
 			At: now, Figures: d.figures(now)})
 	}
 }
 
-// Started takes word that an exchange has a new processor: what the one before could do proves nothing.
+// Started records that an exchange has a new processor. The window ramps up again, because the capacity of the
+// previous processor says nothing about the new one.
 func (s *Storm) Started(now time.Duration, number int) {
-	now = s.tick(now)
+	now = s.advance(now)
 	d := s.dest(number)
 	d.ramp()
 	s.counts.Ramps++
-	d.least, d.before = 0, 0
-	s.move(now, &d.meter, Recovering, "new processor")
+	d.minTime, d.prevMinTime = 0, 0
+	s.setState(now, &d.meter, Recovering, "new processor")
 }
 
-// Counts are the totals.
+// Counts returns the totals since the start.
 func (s *Storm) Counts() Counts { return s.counts }
 
-// levelLeast is how many first tries a second without room are worth telling.
-const levelLeast = 0.2
+// minRejectedRate is the rate of rejected first tries per second below which Level is 0.
+const minRejectedRate = 0.2
 
-// Level is the congestion level of a destination as ISUP counts it (Q.763, 3.4): 0 for none, 1, or 2.
+// Level returns the ISUP congestion level of a destination (Q.763, 3.4): 0 for none, 1, or 2.
 func (s *Storm) Level(now time.Duration, number int) int {
 	d := s.dests[number]
 	if d == nil {
 		return 0
 	}
-	if d.refused.get(now, fast) < levelLeast { // it has passed
+	if d.rejected.get(now, fastSpan) < minRejectedRate { // also after the congestion has ended
 		return 0
 	}
-	switch part := share(d.refused.get(now, fast), d.firsts.get(now, fast)); {
-	case part > 0.4:
+	switch ratio := share(d.rejected.get(now, fastSpan), d.firstTries.get(now, fastSpan)); {
+	case ratio > 0.4:
 		return 2
-	case part > 0.1:
+	case ratio > 0.1:
 		return 1
 	}
 	return 0
 }
 
-// Status is a scope with its state and figures, for those who read them.
+// Status is the state of a scope with its figures, as reported to operators.
 type Status struct {
 	Scope Scope
 	State State
 	Figures
 }
 
-// Statuses lists the whole, the classes and the exchanges.
+// Statuses returns the status of the whole controller, of each class by index and of each exchange by number.
 func (s *Storm) Statuses(now time.Duration) []Status {
-	out := []Status{s.whole.status(now)}
+	out := []Status{s.total.status(now)}
 	for i := range s.classes {
 		out = append(out, s.classes[i].status(now))
 	}
@@ -385,9 +391,9 @@
 	}
 	slices.Sort(numbers)
 	for _, n := range numbers {
-		st := s.dests[n].meter.status(now)
-		st.Window, st.Open, st.Wait = s.dests[n].size, s.dests[n].open, s.dests[n].wait
-		out = append(out, st)
+		status := s.dests[n].meter.status(now)
+		status.Window, status.Open, status.Wait = s.dests[n].size, s.dests[n].open, s.dests[n].wait
+		out = append(out, status)
 	}
 	return out
 }
--- a/internal/storm/storm_test.go
+++ b/internal/storm/storm_test.go
@@ -21,8 +21,8 @@
 	return s
 }
 
-// full lets calls in until the first one is turned away, and returns how many fitted.
-func full(s *Storm, now time.Duration, o Offer) int {
+// fillWindow offers calls until one is rejected and returns the number admitted. Each call has another caller.
+func fillWindow(s *Storm, now time.Duration, o Offer) int {
 	for n := 0; ; n++ {
 		if o.Caller++; !s.Offered(now, o).Admit() {
 			return n
@@ -30,17 +30,17 @@
 	}
 }
 
-// TestRanks: as the window fills, those who ignore advice, redials, calls in transit, first tries and worthy
-// classes are turned away in that order.
+// TestRanks checks that, as the window fills, calls are rejected in this order: callers that ignore advice, redials,
+// transit calls, first tries, calls of worthy classes.
 func TestRanks(t *testing.T) {
 	s, now := newStorm(t, config()), time.Hour
 	s.dest(1).size = 100
 	ignorer := Offer{Dest: 1, Caller: 1 << 40, Resent: true}
 	for range 3 {
-		s.callers.tell(now, ignorer.Caller, time.Second)
-		s.callers.came(now+time.Millisecond, ignorer.Caller, true)
+		s.callers.recordWait(now, ignorer.Caller, time.Second)
+		s.callers.recordTry(now+time.Millisecond, ignorer.Caller, true)
 	}
-	s.callers.tell(now, ignorer.Caller, time.Second)
+	s.callers.recordWait(now, ignorer.Caller, time.Second)
 	for i, want := range []struct {
 		o    Offer
 		open int
@@ -50,24 +50,24 @@
 			require.Equal(t, CameEarly, s.Offered(now, ignorer).Reason)
 		}
 		want.o.Caller = uint64(i+1) << 20
-		if i == 2 { // many numbers: none of them is heavy
+		if i == 2 { // many different numbers, so that none is heavy
 			for n := uint64(100); s.Offered(now, Offer{Dest: 1, Number: n, Caller: n}).Admit(); n++ {
 			}
 		} else {
-			full(s, now, want.o)
+			fillWindow(s, now, want.o)
 		}
-		require.InDelta(t, want.open, s.dests[1].open, 3, "%+v", want.o) // the mean worth moves as calls come
+		require.InDelta(t, want.open, s.dests[1].open, 3, "%+v", want.o) // the mean worth shifts as calls are offered
 	}
 }
 
-// TestWindow: it grows while set-ups come back at once and it is used, shrinks while they wait, and a silence
-// starts it again.
+// TestWindow checks that the window grows while it is used and set-ups are answered at once, shrinks while set-ups are
+// queued, and ramps up again after an outage.
 func TestWindow(t *testing.T) {
 	s, now := newStorm(t, config()), time.Hour
-	turn := func(n int, took time.Duration) {
+	play := func(n int, took time.Duration) {
 		for range n {
 			now += 20 * time.Millisecond
-			got := full(s, now, Offer{Dest: 1, Number: uint64(now)})
+			got := fillWindow(s, now, Offer{Dest: 1, Number: uint64(now)})
 			for range got + s.dests[1].open {
 				if s.dests[1].open > 0 {
 					s.Sent(now, 1, false)
@@ -76,26 +76,26 @@
 			}
 		}
 	}
-	turn(20, 20*time.Millisecond)
+	play(20, 20*time.Millisecond)
 	grown := s.dests[1].size
 	require.Greater(t, grown, 30.0)
-	turn(3, time.Second)
+	play(3, time.Second)
 	require.Less(t, s.dests[1].size, grown/4)
-	require.GreaterOrEqual(t, s.dests[1].size, windowLeast)
+	require.GreaterOrEqual(t, s.dests[1].size, minWindow)
 	s.Sent(now, 1, false)
 	now += 5 * time.Second
 	ramps := s.Counts().Ramps
 	s.Stood(now, 1, 0, 20*time.Millisecond, true)
 	require.Equal(t, ramps+1, s.Counts().Ramps)
 	require.InDelta(t, 8, s.dests[1].size, 1.5)
-	turn(1, 20*time.Millisecond)
+	play(1, 20*time.Millisecond)
 	size := s.dests[1].size
 	s.Failed(now, 1)
-	s.Failed(now, 1) // of the same moment
-	require.InDelta(t, size*windowBack, s.dests[1].size, 1e-9)
+	s.Failed(now, 1) // within the same back-off interval
+	require.InDelta(t, size*backOffFactor, s.dests[1].size, 1e-9)
 }
 
-// TestSecondOutage: it starts the ramp again and leaves what was learnt.
+// TestSecondOutage checks that a second outage restarts the ramp-up and keeps the learnt baseline.
 func TestSecondOutage(t *testing.T) {
 	s, now := newStorm(t, config()), time.Hour
 	for range 400 {
@@ -104,17 +104,17 @@
 		s.Stood(now, 1, 0, 20*time.Millisecond, true)
 		s.Tick(now)
 	}
-	usual := s.dests[1].meter.usual.rate()
-	require.InDelta(t, 20, usual, 1)
+	baseline := s.dests[1].meter.baseline.rate()
+	require.InDelta(t, 20, baseline, 1)
 	s.Started(now, 1)
 	s.Started(now+6*time.Second, 1)
 	require.Equal(t, 8.0, s.dests[1].size)
 	s.Tick(now + 6*time.Second)
-	require.InDelta(t, usual, s.dests[1].meter.usual.rate(), 0.1)
+	require.InDelta(t, baseline, s.dests[1].meter.baseline.rate(), 0.1)
 }
 
-// TestBudget: where nothing is served, further attempts stop; first attempts never do, and served calls pay for
-// more.
+// TestBudget checks that further attempts are denied when no call is served, that first attempts never are, and that
+// served calls earn further attempts.
 func TestBudget(t *testing.T) {
 	s, now, further := newStorm(t, config()), time.Hour, 0
 	for range 1000 {
@@ -124,19 +124,19 @@
 			further++
 		}
 	}
-	require.LessOrEqual(t, further, int(budgetStart+budgetDrip*10)+1)
+	require.LessOrEqual(t, further, int(initialBudget+budgetPerSecond*10)+1)
 	for range 100 {
 		s.Stood(now, 1, 0, time.Millisecond, true)
 	}
 	require.True(t, s.Sent(now, 1, true))
 }
 
-// TestAdvice: no two of a hundred are told the same, within the bound, the same again from the same seed and
-// other waits from another; nothing is told where nothing may be.
+// TestAdvice checks that no two of a hundred successive waits are equal, that they are positive and at most MaxWait,
+// that the same seed gives the same waits and another seed others, and that MaxWait 0 gives no waits.
 func TestAdvice(t *testing.T) {
-	told := func(seed uint64, most time.Duration) []time.Duration {
+	draw := func(seed uint64, maxWait time.Duration) []time.Duration {
 		c := config()
-		c.Seed, c.MaxWait = seed, most
+		c.Seed, c.MaxWait = seed, maxWait
 		s := newStorm(t, c)
 		var out []time.Duration
 		for i := range 1000 {
@@ -144,7 +144,7 @@
 		}
 		return out
 	}
-	a := told(1, 2*time.Second)
+	a := draw(1, 2*time.Second)
 	for i := range len(a) - 100 {
 		seen := map[time.Duration]bool{}
 		for _, w := range a[i : i+100] {
@@ -154,12 +154,12 @@
 			seen[w] = true
 		}
 	}
-	require.Equal(t, a, told(1, 2*time.Second))
-	require.NotEqual(t, a, told(2, 2*time.Second))
-	require.Equal(t, make([]time.Duration, 1000), told(1, 0))
+	require.Equal(t, a, draw(1, 2*time.Second))
+	require.NotEqual(t, a, draw(2, 2*time.Second))
+	require.Equal(t, make([]time.Duration, 1000), draw(1, 0))
 }
 
-// TestAdviceGrows: who comes again and again is told to stay away for longer.
+// TestAdviceGrows checks that the wait grows with the number of tries.
 func TestAdviceGrows(t *testing.T) {
 	mean := func(tries int) (sum time.Duration) {
 		a := newAdviser(3)
@@ -171,37 +171,37 @@
 	require.Greater(t, mean(3), 2*mean(0))
 }
 
-// TestIgnorers: a caller who comes early twice is known, an accident is not held against it, others of the same
-// hash who were told nothing do not count, and it is forgiven after a while.
+// TestIgnorers checks that two early tries make an ignorer and one does not, that the entry expires, that a try in
+// time is no offence, and that first tries of callers that share the hash do not count.
 func TestIgnorers(t *testing.T) {
 	var c callers
 	now := time.Hour
 	early := func() bool {
-		c.tell(now, 7, time.Second)
+		c.recordWait(now, 7, time.Second)
 		now += 100 * time.Millisecond
-		ignorer, _ := c.came(now, 7, true)
+		ignorer, _ := c.recordTry(now, 7, true)
 		return ignorer
 	}
 	require.False(t, early())
 	require.True(t, early())
-	ignorer, _ := c.came(now, 7, false)
+	ignorer, _ := c.recordTry(now, 7, false)
 	require.True(t, ignorer)
-	ignorer, _ = c.came(now+callerForget, 7, true)
+	ignorer, _ = c.recordTry(now+callerTTL, 7, true)
 	require.False(t, ignorer)
 
-	c.tell(now, 8, time.Second)
-	ignorer, tries := c.came(now+time.Second, 8, true)
+	c.recordWait(now, 8, time.Second)
+	ignorer, tries := c.recordTry(now+time.Second, 8, true)
 	require.False(t, ignorer)
 	require.Equal(t, 1, tries)
-	for range 100 { // one address, many callers: first tries are not redials
-		c.tell(now, 9, time.Second)
-		ignorer, _ = c.came(now, 9, false)
+	for range 100 { // many callers with one address: first tries are not redials
+		c.recordWait(now, 9, time.Second)
+		ignorer, _ = c.recordTry(now, 9, false)
 		require.False(t, ignorer)
 	}
 }
 
-// TestStates: redials make a storm after a moment, not at once; its end leads by way of recovering to calm; and
-// the storm does not become the usual.
+// TestStates checks that redials cause the storm state only if they persist, that the state returns to calm through
+// recovering, and that the storm's rate does not become the baseline.
 func TestStates(t *testing.T) {
 	s, now := newStorm(t, config()), time.Hour
 	var log []string
@@ -219,36 +219,37 @@
 		}
 	}
 	play(20*time.Second, 100*time.Millisecond, 0)
-	usual := s.whole.usual.rate()
+	baseline := s.total.baseline.rate()
 	play(200*time.Millisecond, 100*time.Millisecond, 3)
 	play(10*time.Second, 100*time.Millisecond, 0)
-	require.Equal(t, []string{"calm-recovering", "recovering-calm"}, log, "a burst is no storm")
+	require.Equal(t, []string{"calm-recovering", "recovering-calm"}, log, "a burst is not a storm")
 	play(10*time.Second, 100*time.Millisecond, 3)
 	play(20*time.Second, 100*time.Millisecond, 0)
 	require.Equal(t, []string{"calm-recovering", "recovering-calm", "calm-storm", "storm-recovering", "recovering-calm"}, log)
-	require.InDelta(t, usual, s.whole.usual.rate(), 2)
+	require.InDelta(t, baseline, s.total.baseline.rate(), 2)
 }
 
-// TestLinks: connections that come many times as often as usual make the scope rise, though no call is offered.
+// TestLinks checks that new connections at many times the baseline rate raise the scope's state although no call is
+// offered.
 func TestLinks(t *testing.T) {
 	s, now := newStorm(t, config()), time.Hour
 	causes := map[string]bool{}
 	play := func(span, every time.Duration) {
 		for end := now + span; now < end; now += every {
-			s.Linked(now, uint64(now)) // each from another address
+			s.Linked(now, uint64(now)) // each from a different address
 			for _, c := range s.Tick(now) {
 				causes[c.Scope.Kind+": "+c.Cause] = true
 			}
 		}
 	}
 	play(30*time.Second, 100*time.Millisecond)
-	require.False(t, causes["all: new connections over the usual rate"])
+	require.False(t, causes["all: new connections over the baseline rate"])
 	play(5*time.Second, 10*time.Millisecond)
-	require.True(t, causes["all: new connections over the usual rate"])
-	require.LessOrEqual(t, len(s.groups), mostGroups)
+	require.True(t, causes["all: new connections over the baseline rate"])
+	require.LessOrEqual(t, len(s.groups), maxGroups)
 }
 
-// TestHeavy: the number that takes half of the calls is found among thousands of others, and they are not.
+// TestHeavy checks that only the number that receives most of the calls is heavy, among thousands of others.
 func TestHeavy(t *testing.T) {
 	var h heavy
 	now := time.Hour
@@ -258,19 +259,20 @@
 			h.add(now, uint64(1000+i))
 		}
 	}
-	require.True(t, h.is(now, 7))
-	require.False(t, h.is(now, 4998))
-	require.False(t, h.is(now, 3))
+	require.True(t, h.isHeavy(now, 7))
+	require.False(t, h.isHeavy(now, 4998))
+	require.False(t, h.isHeavy(now, 3))
 }
 
-// TestPacer: a group that connects by thousands waits behind itself; another gets through at once.
+// TestPacer checks that a group with thousands of connections does not delay a small group, that the rate limit holds,
+// and that the tables stay bounded.
 func TestPacer(t *testing.T) {
 	p, err := NewPacer(Pace{PerSecond: 100, Burst: 10, Waiting: 40})
 	require.NoError(t, err)
 	now, served, refused := time.Hour, map[uint64]int{}, 0
 	groups := map[uint64]uint64{}
 	next := uint64(0)
-	come := func(group uint64) {
+	arrive := func(group uint64) {
 		next++
 		groups[next] = group
 		if ok, waits := p.Come(now, group, next); ok {
@@ -281,31 +283,31 @@
 	}
 	for i := range 2000 {
 		now += time.Millisecond
-		come(1)
+		arrive(1)
 		if i%50 == 0 {
-			come(2)
+			arrive(2)
 		}
-		ids, late, again := p.Next(now)
+		ids, expired, retryIn := p.Next(now)
 		for _, id := range ids {
 			served[groups[id]]++
 		}
-		require.Empty(t, late)
-		require.True(t, again > 0 || p.waiting == 0)
+		require.Empty(t, expired)
+		require.True(t, retryIn > 0 || p.queued == 0)
 	}
-	require.Equal(t, 40, served[2]+len(p.groups[2].waiting), "the small group is served whole")
+	require.Equal(t, 40, served[2]+len(p.groups[2].queue), "every connection of the small group is served or queued")
 	require.InDelta(t, 200, served[1]+served[2], 12)
-	require.Equal(t, p.Refused, refused)
+	require.Equal(t, p.Rejected, refused)
 	for g := range uint64(100_000) {
 		now += time.Millisecond
-		come(g + 10)
+		arrive(g + 10)
 		p.Next(now)
 	}
-	require.LessOrEqual(t, len(p.groups), mostPaced+sharedLines)
-	_, late, _ := p.Next(now + time.Hour)
-	require.Zero(t, p.waiting, "%d late", len(late))
+	require.LessOrEqual(t, len(p.groups), maxPacedGroups+sharedQueues)
+	_, expired, _ := p.Next(now + time.Hour)
+	require.Zero(t, p.queued, "%d late", len(expired))
 }
 
-// TestBadConfig names what can't be served.
+// TestBadConfig checks that an error names the invalid setting.
 func TestBadConfig(t *testing.T) {
 	for want, change := range map[string]func(*Config){
 		"target":  func(c *Config) { c.Target = 2 },
@@ -321,7 +323,7 @@
 	require.Error(t, s.Configure(Config{Classes: config().Classes[:1]}))
 }
 
-// events drives a Storm with whatever is drawn and checks what must always hold.
+// events drives a Storm with a random sequence of events and checks its invariants after each.
 func events(t *rapid.T) {
 	c := config()
 	c.MaxWait = time.Duration(rapid.IntRange(0, 2000).Draw(t, "most")) * time.Millisecond
@@ -331,7 +333,7 @@
 	}
 	now, open := time.Hour, map[int]int{}
 	for range rapid.IntRange(1, 400).Draw(t, "n") {
-		now += time.Duration(rapid.IntRange(-50, 300).Draw(t, "step")) * time.Millisecond // clocks step back, too
+		now += time.Duration(rapid.IntRange(-50, 300).Draw(t, "step")) * time.Millisecond // clocks can step back
 		dest := rapid.IntRange(0, 3).Draw(t, "dest")
 		switch rapid.IntRange(0, 6).Draw(t, "event") {
 		case 0, 1, 2:
@@ -341,7 +343,7 @@
 			if v.Admit() {
 				open[dest]++
 			} else if v.Wait < 0 || v.Wait > c.MaxWait || o.Transit && v.Wait != 0 {
-				t.Fatalf("told %v of %v", v.Wait, c.MaxWait)
+				t.Fatalf("wait %v, maximum %v", v.Wait, c.MaxWait)
 			}
 		case 3:
 			if open[dest] > 0 {
@@ -355,7 +357,7 @@
 			}
 		case 5:
 			if !s.Sent(now, dest, false) {
-				t.Fatal("a first attempt is held back")
+				t.Fatal("a first attempt is denied")
 			}
 			s.Failed(now, dest)
 		case 6:
@@ -363,18 +365,19 @@
 			s.Started(now, dest)
 		}
 		for n, d := range s.dests {
-			if d.open != open[n] || d.size < windowLeast || d.size > windowMost || d.tokens < -1e-9 || d.tokens > budgetMost {
+			if d.open != open[n] || d.size < minWindow || d.size > maxWindow || d.tokens < -1e-9 || d.tokens > maxBudget {
 				t.Fatalf("exchange %d: %d open (%d), window %v, tokens %v", n, d.open, open[n], d.size, d.tokens)
 			}
 		}
 	}
 }
 
-// TestEvents and FuzzEvents: no sequence of events breaks what must hold.
+// TestEvents and FuzzEvents check the invariants over random sequences of events.
 func TestEvents(t *testing.T) { rapid.Check(t, events) }
 func FuzzEvents(f *testing.F) { f.Fuzz(rapid.MakeFuzz(events)) }
 
-// TestBounded: a million made-up callers, numbers, addresses and exchanges leave tables of a fixed size.
+// TestBounded checks that the tables stay within their fixed sizes after a million different callers, numbers and
+// addresses and 2000 exchanges.
 func TestBounded(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -391,12 +394,12 @@
 	runtime.ReadMemStats(&after)
 	require.Less(t, int64(after.HeapAlloc)-int64(before.HeapAlloc), int64(4<<20))
 	t.Logf("%d KiB", (int64(after.HeapAlloc)-int64(before.HeapAlloc))>>10)
-	require.LessOrEqual(t, len(s.dests), mostDests)
-	require.LessOrEqual(t, len(s.groups), mostGroups)
-	require.LessOrEqual(t, len(s.changes), mostChanges)
+	require.LessOrEqual(t, len(s.dests), maxDests)
+	require.LessOrEqual(t, len(s.groups), maxGroups)
+	require.LessOrEqual(t, len(s.changes), maxChanges)
 }
 
-// BenchmarkDecision is the cost of a call: offered, sent and stood, or turned away.
+// BenchmarkDecision measures one call: offered, sent and answered, or rejected.
 func BenchmarkDecision(b *testing.B) {
 	s, now := newStorm(b, config()), time.Hour
 	b.ReportAllocs()
--- a/internal/storm/window.go
+++ b/internal/storm/window.go
@@ -5,111 +5,116 @@
 	"time"
 )
 
-// The window toward a destination. A processor with one line shows a line as set-ups that take longer than the
-// least that was seen; a window on what is under way keeps the line short whatever the processor can do, however
-// many others send there, and follows it within one set-up time. A rate would need all three to be known.
+// The window toward a destination. At a processor with one queue, queueing shows as set-ups that take longer than
+// the shortest time observed. A window on the open calls keeps the queue short whatever the processor's capacity and
+// however many other controllers send to it, and adapts within one set-up time. A rate limit would need to know the
+// capacity, the load from the other controllers and the changes of both.
 const (
-	windowLeast = 2.0  // one set-up tells nothing of the next
-	windowFirst = 16.0 // after a start and after an outage, of all controllers together
-	windowEasy  = 6.0  // it grows so far without proof: fewer come together by chance
-	windowMost  = 4096 // calls under way to one destination
-	windowBack  = 0.7  // what a turned-away or lost set-up leaves of it
-	backEvery   = 300 * time.Millisecond
-	roomier     = 0.5 // it grows only while so much of it is used: what was never tried proves nothing
-	leastFor    = 30 * time.Second
-	silentFor   = time.Second // set-ups out and no answer for so long: an outage
+	minWindow       = 2.0  // a single set-up says nothing about the next
+	initialWindow   = 16.0 // after a start or an outage, total of all controllers
+	unprovenWindow  = 6.0  // below this size it grows even if it is not used: so few calls may coincide by chance
+	maxWindow       = 4096 // maximum number of open calls to one destination
+	backOffFactor   = 0.7  // the size is multiplied by this after a rejected or lost set-up
+	backOffInterval = 300 * time.Millisecond
+	minUsedShare    = 0.5              // it grows only while this share is used: unused capacity is unproven
+	minTimeSpan     = 30 * time.Second // queueing delay is measured against the minimum of this span and the one before
+	outageAfter     = time.Second      // set-ups sent and no answer for this long: an outage
 )
 
-// ranks are parts of the window open to calls: who comes first finds room longest.
+// rank orders calls by the share of the window that is open to them, lowest first. See rankShares.
 type rank int
 
 const (
-	rankIgnorer rank = iota // came back before its time
+	rankIgnorer rank = iota // retried before the end of its wait, repeatedly
 	rankRedial
-	rankHeavy   // to a number that takes more than its part
-	rankTransit // on its way from elsewhere
+	rankHeavy   // to a number that receives a large share of the calls
+	rankTransit // transit call of another exchange
 	rankFirst
-	rankWorthy // a class worth more than most
-	ranks
+	rankWorthy // of a class whose worth is well above the mean
+	numRanks
 )
 
-var parts = [ranks]float64{0.15, 0.4, 0.7, 0.85, 1, 1.5}
+// rankShares is the share of the window open to each rank.
+var rankShares = [numRanks]float64{0.15, 0.4, 0.7, 0.85, 1, 1.5}
 
-// window bounds what is under way to a destination.
+// window limits the open calls to a destination. Its size adapts to the queueing delay of the answered set-ups.
 type window struct {
-	size     float64
-	open     int     // calls let through and neither answered nor over
-	first    float64 // size at the start of a ramp
-	ramping  bool
-	ramps    int
-	least    time.Duration // least set-up time of this span and the one before, 0 if none
-	before   time.Duration
-	leastAt  time.Duration
-	wait     time.Duration // of the last set-up that stood
-	heard    time.Duration // last answer
-	asked    time.Duration // the first set-up after that
-	waiting  bool
-	backedAt time.Duration
-	level    int           // of congestion, as the exchange told it
-	levelTo  time.Duration // obeyed until then
+	size            float64
+	open            int     // admitted calls that are neither answered nor ended
+	rampSize        float64 // size at the start of a ramp-up
+	ramping         bool
+	ramps           int
+	minTime         time.Duration // minimum set-up time in the current minTimeSpan, 0 if none
+	prevMinTime     time.Duration // minimum of the span before, 0 if none
+	minTimeAt       time.Duration // start of the current span
+	wait            time.Duration // queueing delay of the last answered set-up
+	answeredAt      time.Duration // time of the last answer
+	unansweredSince time.Duration // time of the first set-up after that
+	unanswered      bool
+	backedOffAt     time.Duration // time of the last back-off
+	level           int           // congestion level signalled by the exchange
+	levelUntil      time.Duration // level applies until then
 }
 
-// ramp starts the window again, from little, at the start and after an outage. Others start at the same time: the
-// set-ups that all of them send before the first answer make one line.
+// ramp restarts the window from its initial size, at the start and after an outage. Other controllers restart at the
+// same time, and the set-ups that all of them send before the first answer share one queue.
 func (w *window) ramp() {
-	w.size, w.ramping = w.first, true
+	w.size, w.ramping = w.rampSize, true
 	w.ramps++
 }
 
-// eased is what congestion that the exchange itself has told leaves of the window, by its level. Worthy classes are
-// eased less.
-var eased = [4]float64{1, 0.5, 0.25, 0.1}
+// levelShares is the share of the window that stays open at each congestion level signalled by the exchange. Calls of
+// rankWorthy are not reduced at level 1.
+var levelShares = [4]float64{1, 0.5, 0.25, 0.1}
 
-// levelFor is how long a told level is obeyed: T30 of automatic congestion control (Q.764, 2.11), 5 to 10 s.
-const levelFor = 5 * time.Second
+// levelValidity is how long a signalled level applies: T30 of automatic congestion control (Q.764, 2.11), 5 to 10 s.
+const levelValidity = 5 * time.Second
 
-// congested takes the level that the exchange has told; 0 lifts it.
+// congested sets the congestion level signalled by the exchange; 0 clears it.
 func (w *window) congested(now time.Duration, level int) {
-	w.level, w.levelTo = min(max(0, level), len(eased)-1), now+levelFor
+	w.level, w.levelUntil = min(max(0, level), len(levelShares)-1), now+levelValidity
 }
 
-// fits tells whether a call finds room.
-func (w *window) fits(now time.Duration, r rank) bool {
-	size := w.size * parts[r]
-	if w.level > 0 && now < w.levelTo && !(r == rankWorthy && w.level < 2) {
-		size *= eased[w.level]
+// admits reports whether the window has space for a call of rank r.
+func (w *window) admits(now time.Duration, r rank) bool {
+	size := w.size * rankShares[r]
+	if w.level > 0 && now < w.levelUntil && !(r == rankWorthy && w.level < 2) {
+		size *= levelShares[w.level]
 	}
 	return float64(w.open) < max(1, size)
 }
 
-// sent notes a set-up.
+// sent records an outgoing set-up.
 func (w *window) sent(now time.Duration) {
-	if !w.waiting {
-		w.waiting, w.asked = true, now
+	if !w.unanswered {
+		w.unanswered, w.unansweredSince = true, now
 	}
 }
 
-// silent tells whether set-ups went out and nothing came back for a while.
-func (w *window) silent(now time.Duration) bool { return w.waiting && now-w.asked > silentFor }
+// unresponsive reports whether a set-up was sent more than outageAfter ago and nothing has been answered since.
+func (w *window) unresponsive(now time.Duration) bool {
+	return w.unanswered && now-w.unansweredSince > outageAfter
+}
 
-// stood takes the time that a set-up took, and how long one may wait.
+// stood records an answered set-up that took this long and adapts the size: it shrinks while the queueing delay
+// exceeds target, and grows while the window is used.
 func (w *window) stood(now, took, target time.Duration) {
-	if w.silent(now) {
+	if w.unresponsive(now) {
 		w.ramp()
 	}
-	w.heard, w.waiting = now, false
-	if now-w.leastAt > leastFor {
-		w.before, w.least, w.leastAt = w.least, 0, now
+	w.answeredAt, w.unanswered = now, false
+	if now-w.minTimeAt > minTimeSpan {
+		w.prevMinTime, w.minTime, w.minTimeAt = w.minTime, 0, now
 	}
-	if w.least == 0 || took < w.least {
-		w.least = took
+	if w.minTime == 0 || took < w.minTime {
+		w.minTime = took
 	}
-	base := w.least
-	if w.before > 0 {
-		base = min(base, w.before)
+	base := w.minTime
+	if w.prevMinTime > 0 {
+		base = min(base, w.prevMinTime)
 	}
 	w.wait = took - base
-	used := w.size < windowEasy || float64(w.open+1) >= roomier*w.size
+	used := w.size < unprovenWindow || float64(w.open+1) >= minUsedShare*w.size
 	switch {
 	case w.wait > target:
 		w.ramping = false
@@ -119,14 +124,15 @@
 	case used:
 		w.size += 2 / w.size
 	}
-	w.size = math.Min(max(windowLeast, w.size), windowMost)
+	w.size = math.Min(max(minWindow, w.size), maxWindow)
 }
 
-// back takes word that a set-up was turned away by a full processor, or lost.
-func (w *window) back(now time.Duration) {
-	if now-w.backedAt < backEvery && w.backedAt > 0 {
+// backOff shrinks the window after a set-up was rejected by a full processor or lost, at most once per
+// backOffInterval.
+func (w *window) backOff(now time.Duration) {
+	if now-w.backedOffAt < backOffInterval && w.backedOffAt > 0 {
 		return
 	}
-	w.ramping, w.backedAt = false, now
-	w.size = max(windowLeast, w.size*windowBack)
+	w.ramping, w.backedOffAt = false, now
+	w.size = max(minWindow, w.size*backOffFactor)
 }
