--- a/internal/stormconf/stormconf.go
+++ b/internal/stormconf/stormconf.go
@@ -1,5 +1,5 @@
-// Package stormconf reads the operators' file on storms, deploy/storm.toml. It owns the file's form and its
-// checks, and knows nothing of what is decided with it.
+// Package stormconf reads the operators' storm configuration, deploy/storm.toml. It owns the file's format and its
+// validation; package storm applies the settings.
 package stormconf
 
 import (
@@ -12,16 +12,16 @@
 	"brookmux/internal/tomlfile"
 )
 
-// File is what deploy/storm.toml says.
+// File is the content of deploy/storm.toml.
 type File struct {
 	Enabled bool    `toml:"enabled"`
-	Target  float64 `toml:"target"` // part of the shortest aim that a set-up may wait in line, 0 for the usual one
+	Target  float64 `toml:"target"` // maximum queueing delay, as a fraction of the shortest aim; 0 for the default
 	Parts   Parts   `toml:"parts"`
 	Told    Told    `toml:"told"`
 	Pace    Pace    `toml:"pace"`
 }
 
-// Parts can be switched off alone. One that the file does not name is on.
+// Parts switches the mechanisms of storm protection individually. One that the file does not name is on.
 type Parts struct {
 	Window  *bool `toml:"window"`
 	Budget  *bool `toml:"budget"`
@@ -30,21 +30,21 @@
 	Cold    *bool `toml:"cold"`
 }
 
-// Told is in which forms callers and peers are told, beside X-Cooldown.
+// Told selects how callers and peers are notified of congestion, in addition to X-Cooldown.
 type Told struct {
 	RetryAfter bool `toml:"retry_after"` // SIP Retry-After (RFC 3261, 20.33)
 	Level      bool `toml:"level"`       // ISUP automatic congestion level (Q.763, 3.4)
 	Network    bool `toml:"network"`     // M3UA SCON, DUNA and DAVA (RFC 4666, 3.4)
 }
 
-// Pace is that of new connections and associations; per_second 0 is none.
+// Pace is the rate limit of new connections and associations; per_second 0 is no limit.
 type Pace struct {
 	PerSecond float64 `toml:"per_second"`
 	Burst     int     `toml:"burst"`
-	Waiting   int     `toml:"waiting"` // connections that may wait for their turn
+	Waiting   int     `toml:"waiting"` // maximum number of queued connections
 }
 
-// Load reads a file; where there is none, storms are neither seen nor damped.
+// Load reads a file. A file that does not exist is no error: storm protection is then disabled.
 func Load(path string) (File, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -60,33 +60,33 @@
 	return f, nil
 }
 
-// Parse reads a file's text. An error names the line, or the field that can't be served.
+// Parse decodes and validates a file's text. An error names the line or the invalid field.
 func Parse(text []byte) (File, error) {
 	var f File
 	if err := tomlfile.Decode(text, &f); err != nil {
 		return File{}, err
 	}
 	for _, c := range []struct {
-		field       string
-		value       float64
-		least, most float64
+		field     string
+		value     float64
+		low, high float64
 	}{{"target", f.Target, 0, 1}, {"pace.per_second", f.Pace.PerSecond, 0, 1e5}, {"pace.burst", float64(f.Pace.Burst), 0, 1e5},
 		{"pace.waiting", float64(f.Pace.Waiting), 0, 4096}} {
-		if !(c.value >= c.least && c.value <= c.most) {
-			return File{}, fmt.Errorf("%s is %v, from %v to %v is served", c.field, c.value, c.least, c.most)
+		if !(c.value >= c.low && c.value <= c.high) {
+			return File{}, fmt.Errorf("%s is %v, it must be from %v to %v", c.field, c.value, c.low, c.high)
 		}
 	}
 	if f.Pace.PerSecond > 0 && f.Pace.Burst < 1 {
-		return File{}, errors.New("pace.burst is needed with pace.per_second")
+		return File{}, errors.New("pace.burst is needed when pace.per_second is set")
 	}
 	return f, nil
 }
 
-// On tells whether a part is on.
-func On(part *bool) bool { return part == nil || *part }
+// Enabled reports whether a part is on; a part that the file does not name is.
+func Enabled(part *bool) bool { return part == nil || *part }
 
-// Storm is what the file makes of storm; what the platform's settings say is put in by the core.
+// Storm returns the file's settings as a storm.Config. The core adds the platform's settings to it.
 func (f File) Storm(seed uint64) storm.Config {
-	return storm.Config{Seed: seed, Target: f.Target, Window: On(f.Parts.Window), Budget: On(f.Parts.Budget),
-		Advice: On(f.Parts.Advice), Callers: On(f.Parts.Callers), Cold: On(f.Parts.Cold)}
+	return storm.Config{Seed: seed, Target: f.Target, Window: Enabled(f.Parts.Window), Budget: Enabled(f.Parts.Budget),
+		Advice: Enabled(f.Parts.Advice), Callers: Enabled(f.Parts.Callers), Cold: Enabled(f.Parts.Cold)}
 }
--- a/internal/stormconf/stormconf_test.go
+++ b/internal/stormconf/stormconf_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestErrors: what can't be served is named, with its line or field.
+// TestErrors checks that an error names the line or the field of an invalid setting.
 func TestErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"enabled = 1":                          "enabled",
@@ -26,8 +26,8 @@
 	}
 }
 
-// TestLoad: the file that is deployed can be served, a file that is not there is off, and a part that is not named
-// is on.
+// TestLoad checks that the deployed file is valid, that a missing file disables storm protection, and that a part
+// that the file does not name is on.
 func TestLoad(t *testing.T) {
 	f, err := Load("../../deploy/storm.toml")
 	require.NoError(t, err)
@@ -41,7 +41,7 @@
 	require.Equal(t, []bool{true, true, false, true, true}, []bool{c.Window, c.Budget, c.Advice, c.Callers, c.Cold})
 }
 
-// FuzzParse: no text makes it panic, and what it takes is within its bounds.
+// FuzzParse checks that no text makes Parse panic and that accepted values are within their bounds.
 func FuzzParse(f *testing.F) {
 	text, err := os.ReadFile("../../deploy/storm.toml")
 	require.NoError(f, err)
