--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings holds the one settings type of brookmux and its parser. The simulator's adapter and the
-// border controller both read the same JSON object with it.
+// Package settings holds the platform's settings type and its parser. The simulator's adapter and the border
+// controller both read the same JSON object with it.
 package settings
 
 import (
@@ -12,39 +12,40 @@
 	"brookmux"
 )
 
-// Settings is what an instance is told at its start.
+// Settings is the configuration that an instance receives at its start.
 type Settings struct {
 	Module         brookmux.Settings
 	ClassNames     []string      // by the module's class index
-	ReportNames    []string      // of a load report's values, in order
+	ReportNames    []string      // names of a load report's values, in order
 	Zones          []string      // by the module's zone index
-	Widths         []float64     // circuits that a call takes, by the module's class index
-	ConnectTimeout time.Duration // a connection that takes longer has failed
-	Keepalive      time.Duration // idle connections close after this
-	AnswerGrace    time.Duration // after a caller's deadline
-	DrainGrace     time.Duration // after word that a switch drains or is gone
-	MostHeld       int           // calls open at a time
+	Widths         []float64     // circuits per call, by the module's class index
+	ConnectTimeout time.Duration // a connection attempt that takes longer has failed
+	Keepalive      time.Duration // idle connections are closed after this
+	AnswerGrace    time.Duration // time allowed after a caller's deadline for the final answer
+	DrainGrace     time.Duration // period after the notification that a switch drains or is gone
+	MostHeld       int           // maximum number of open calls
 }
 
-// MS turns the wire's milliseconds into a duration.
+// MS converts milliseconds, the unit of the settings and the wire, to a duration.
 func MS(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 
-// ToMS turns a duration into the wire's milliseconds.
+// ToMS converts a duration to milliseconds.
 func ToMS(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
+// The values that a setting may have and what they stand for. The empty string is the default.
 var (
 	effects = map[string]brookmux.Effect{
 		"": brookmux.Safe, "repeatable": brookmux.Safe, "by_key": brookmux.Keyed, "once": brookmux.Once}
 	scopes = map[string]brookmux.Scope{
 		"": brookmux.ScopeAll, "all": brookmux.ScopeAll, "zone": brookmux.ScopeZone, "cell": brookmux.ScopeCell}
-	reporting = map[string]brookmux.ReportHow{
+	reportModes = map[string]brookmux.ReportHow{
 		"": brookmux.ReportsNone, "silent": brookmux.ReportsNone,
 		"piggyback": brookmux.ReportsAnswers, "pull": brookmux.ReportsProbe}
 	discoveries = map[string]bool{"": false, "push": false, "ask": true}
 	shapes      = map[string]bool{"": false, "network": false, "skills": true}
 )
 
-// Parse reads a settings text; unknown keys are skipped.
+// Parse decodes a JSON settings object; unknown keys are ignored.
 func Parse(text []byte) (Settings, error) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
@@ -53,70 +54,71 @@
 	return FromValue(v)
 }
 
-// FromValue reads a settings object that stands inside another text.
+// FromValue decodes a settings object that is part of a parsed JSON document. It returns the first error together with
+// the settings decoded so far.
 func FromValue(v *fastjson.Value) (Settings, error) {
 	r := reader{}
 	if v == nil || v.Type() != fastjson.TypeObject {
 		return Settings{}, fmt.Errorf("settings can't be read: not an object")
 	}
-	allow, rules, spec, report := v.Get("permissions"), v.Get("rules"), v.Get("specifics"), v.Get("loadReport")
+	permissions, rules, specifics, report := v.Get("permissions"), v.Get("rules"), v.Get("specifics"), v.Get("loadReport")
 	s := Settings{
 		Module: brookmux.Settings{
-			Instances: r.whole(v, "instances"), Here: -1,
-			Probes: r.yes(allow, "probes"), RetryAfter: r.yes(allow, "retryAfter"),
-			MaxRetryAfter: r.ms(allow, "maxRetryAfterMs"), MaxAttempts: r.whole(allow, "maxAttempts"),
+			Instances: r.integer(v, "instances"), Here: -1,
+			Probes: r.boolean(permissions, "probes"), RetryAfter: r.boolean(permissions, "retryAfter"),
+			MaxRetryAfter: r.ms(permissions, "maxRetryAfterMs"), MaxAttempts: r.integer(permissions, "maxAttempts"),
 			ColdFrom: r.number(rules, "coldFrom"), WarmWithin: r.ms(rules, "warmWithinMs"),
-			FallMultiple: r.number(rules, "fallMultiple"), ReleaseWait: r.ms(spec, "releaseGuardMs"),
+			FallMultiple: r.number(rules, "fallMultiple"), ReleaseWait: r.ms(specifics, "releaseGuardMs"),
 		},
-		ReportNames: r.texts(report, "names"), Zones: r.texts(v, "zones"),
-		ConnectTimeout: r.ms(allow, "connectTimeoutMs"), Keepalive: r.ms(allow, "keepaliveMs"),
+		ReportNames: r.strs(report, "names"), Zones: r.strs(v, "zones"),
+		ConnectTimeout: r.ms(permissions, "connectTimeoutMs"), Keepalive: r.ms(permissions, "keepaliveMs"),
 		AnswerGrace: r.ms(rules, "graceToAnswerMs"), DrainGrace: r.ms(rules, "drainGraceMs"),
-		MostHeld: r.whole(allow, "mostHeld"),
+		MostHeld: r.integer(permissions, "mostHeld"),
 	}
-	if spec.Exists("here") {
-		s.Module.Here = r.whole(spec, "here")
+	if specifics.Exists("here") {
+		s.Module.Here = r.integer(specifics, "here")
 	}
-	s.Module.Ask = word(&r, "discovery", r.text(v, "discovery"), discoveries)
-	s.Module.Pools = word(&r, "specifics.shape", r.text(spec, "shape"), shapes)
-	s.Module.Reports = word(&r, "loadReport.how", r.text(report, "how"), reporting)
-	for _, w := range r.list(spec, "channelsNeeded") {
+	s.Module.Ask = lookup(&r, "discovery", r.str(v, "discovery"), discoveries)
+	s.Module.Pools = lookup(&r, "specifics.shape", r.str(specifics, "shape"), shapes)
+	s.Module.Reports = lookup(&r, "loadReport.how", r.str(report, "how"), reportModes)
+	for _, w := range r.list(specifics, "channelsNeeded") {
 		f, err := w.Float64()
-		r.keep("channelsNeeded", err)
+		r.fail("channelsNeeded", err)
 		s.Widths = append(s.Widths, f)
 	}
-	r.classes(&s, v, spec)
+	r.classes(&s, v, specifics)
 	return s, r.err
 }
 
-// classes reads the classes of call with what the specifics say of each.
-func (r *reader) classes(s *Settings, v, spec *fastjson.Value) {
-	hold, pools := r.list(spec, "classHoldMs"), r.list(spec, "skilledPools")
+// classes decodes the call classes and their entries in the specifics, which are matched by index.
+func (r *reader) classes(s *Settings, v, specifics *fastjson.Value) {
+	hold, pools := r.list(specifics, "classHoldMs"), r.list(specifics, "skilledPools")
 	for i, c := range r.list(v, "classes") {
 		k := brookmux.Class{Aim: r.ms(c, "aimMs"), Deadline: r.ms(c, "deadlineMs"), Worth: r.number(c, "gain"),
 			LateWorth: r.number(c, "lateValue"), Window: r.ms(c, "dedupWindowMs"),
-			Effect: word(r, "classes.effect", r.text(c, "effect"), effects),
-			Group:  word(r, "classes.group", r.text(c, "group"), scopes)}
+			Effect: lookup(r, "classes.effect", r.str(c, "effect"), effects),
+			Group:  lookup(r, "classes.group", r.str(c, "group"), scopes)}
 		if i < len(hold) {
 			h, err := hold[i].Float64()
-			r.keep("classHoldMs", err)
+			r.fail("classHoldMs", err)
 			k.Hold = MS(h)
 		}
 		if i < len(pools) {
 			members, err := pools[i].Array()
-			r.keep("skilledPools", err)
+			r.fail("skilledPools", err)
 			for _, m := range members {
 				n, err := m.Int()
-				r.keep("skilledPools", err)
+				r.fail("skilledPools", err)
 				k.Pools = append(k.Pools, n)
 			}
 		}
 		s.Module.Classes = append(s.Module.Classes, k)
-		s.ClassNames = append(s.ClassNames, r.text(c, "name"))
+		s.ClassNames = append(s.ClassNames, r.str(c, "name"))
 	}
 }
 
-// After returns these settings with the classes at the places that they had before: those that are gone stay
-// under a name that no call has, new ones come after them. Whoever holds a class by its index can go on.
+// After returns these settings with the class indexes of before, so that a class index stays valid across a change
+// of settings. Removed classes keep their index under an empty name, which no call has; new classes are appended.
 func (s Settings) After(before Settings) Settings {
 	out := s
 	out.ClassNames = slices.Clone(before.ClassNames)
@@ -142,16 +144,17 @@
 	return out
 }
 
-// reader reads typed members and keeps the first error. Missing and null members are zero.
+// reader decodes typed members and keeps the first error. Missing and null members decode to the zero value.
 type reader struct{ err error }
 
-func (r *reader) keep(key string, err error) {
+// fail records the error of a setting unless an earlier one is recorded or err is nil.
+func (r *reader) fail(key string, err error) {
 	if err != nil && r.err == nil {
 		r.err = fmt.Errorf("settings can't be read: setting %s: %w", key, err)
 	}
 }
 
-// member returns a member that is there and not null, else nil.
+// member returns a member of v, or nil if it is missing or null.
 func member(v *fastjson.Value, key string) *fastjson.Value {
 	if m := v.Get(key); m != nil && m.Type() != fastjson.TypeNull {
 		return m
@@ -165,39 +168,39 @@
 		return 0
 	}
 	f, err := m.Float64()
-	r.keep(key, err)
+	r.fail(key, err)
 	return f
 }
 
-func (r *reader) whole(v *fastjson.Value, key string) int {
+func (r *reader) integer(v *fastjson.Value, key string) int {
 	m := member(v, key)
 	if m == nil {
 		return 0
 	}
 	n, err := m.Int()
-	r.keep(key, err)
+	r.fail(key, err)
 	return n
 }
 
 func (r *reader) ms(v *fastjson.Value, key string) time.Duration { return MS(r.number(v, key)) }
 
-func (r *reader) yes(v *fastjson.Value, key string) bool {
+func (r *reader) boolean(v *fastjson.Value, key string) bool {
 	m := member(v, key)
 	if m == nil {
 		return false
 	}
 	b, err := m.Bool()
-	r.keep(key, err)
+	r.fail(key, err)
 	return b
 }
 
-func (r *reader) text(v *fastjson.Value, key string) string {
+func (r *reader) str(v *fastjson.Value, key string) string {
 	m := member(v, key)
 	if m == nil {
 		return ""
 	}
 	b, err := m.StringBytes()
-	r.keep(key, err)
+	r.fail(key, err)
 	return string(b)
 }
 
@@ -207,38 +210,38 @@
 		return nil
 	}
 	a, err := m.Array()
-	r.keep(key, err)
+	r.fail(key, err)
 	return a
 }
 
-func (r *reader) texts(v *fastjson.Value, key string) []string {
+func (r *reader) strs(v *fastjson.Value, key string) []string {
 	var out []string
 	for _, m := range r.list(v, key) {
 		b, err := m.StringBytes()
-		r.keep(key, err)
+		r.fail(key, err)
 		out = append(out, string(b))
 	}
 	return out
 }
 
-// word looks up one of the wire's words.
-func word[T any](r *reader, setting, value string, known map[string]T) T {
+// lookup returns what a setting's value stands for in known, or records an error for an unknown value.
+func lookup[T any](r *reader, setting, value string, known map[string]T) T {
 	v, ok := known[value]
 	if !ok && r.err == nil {
-		r.err = fmt.Errorf("setting %s: unknown word %q", setting, value)
+		r.err = fmt.Errorf("setting %s: unknown value %q", setting, value)
 	}
 	return v
 }
 
-// NoReport is a report in which nothing was told.
+// NoReport returns a load report with every value absent.
 func NoReport() brookmux.Report {
 	return brookmux.Report{Free: brookmux.Absent, Size: brookmux.Absent, Active: brookmux.Absent,
 		Queue: brookmux.Absent, Util: brookmux.Absent, Wait: brookmux.Absent, Rate: brookmux.Absent,
 		HoldBack: brookmux.Absent}
 }
 
-// Figure sets the value of a report that the wire calls by this name, in the words of the settings or in
-// those of a real core's report; a name that is not known is skipped.
+// Figure sets the report value with this wire name, as used in the settings or in a real core's report. Unknown names
+// are ignored.
 func Figure(r *brookmux.Report, name string, value float64) {
 	switch name {
 	case "idle", "x0":
