--- a/internal/storm/rate.go
+++ b/internal/storm/rate.go
@@ -36,7 +36,7 @@
 // learn adds the rate r for the time since the previous call, if that time was calm.
 func (b *baseline) learn(now time.Duration, r float64, calm bool) {
 	span := max(0, now-b.updatedAt)
-	if b.updatedAt = max(b.updatedAt, now); !calm || span > slowSpan { // after the first call or a long gap the time between is unknown
+	if b.updatedAt = max(b.updatedAt, now); !calm || span > slowSpan { // first call or a long gap: unknown rate between
 		return
 	}
 	alpha := 1 - math.Exp(-float64(span)/float64(slowSpan))
--- a/internal/storm/storm.go
+++ b/internal/storm/storm.go
@@ -96,7 +96,7 @@
 
 // Counts holds totals since the start.
 type Counts struct {
-	Offered, Redials, Ignorers int             // calls, those marked as further tries, those of callers that ignore advice
+	Offered, Redials, Ignorers int             // calls, redials among them, calls of callers that ignore advice
 	Turned                     [numReasons]int // rejected calls
 	Vetoed                     int             // further attempts denied by a retry budget
 	Ramps                      int             // ramp-ups restarted after an outage or with a new processor
