--- a/internal/storm/detect.go
+++ b/internal/storm/detect.go
@@ -115,15 +115,15 @@
 	case f.Redials > stormRedialShare:
 		return Storming, "redials"
 	case factor > stormFactor && f.Redials > risingRedialShare:
-		return Storming, "calls and redials over the baseline rate"
+		return Storming, "calls and redials over the usual rate"
 	case factor > risingFactor:
-		return Rising, "calls over the baseline rate"
+		return Rising, "calls over the usual rate"
 	case f.Redials > risingRedialShare:
 		return Rising, "redials"
 	case m.linksBaseline.rate() > 0 && f.Links > linksFactor*max(m.linksBaseline.rate(), minRate):
-		return Rising, "new connections over the baseline rate"
+		return Rising, "new connections over the usual rate"
 	}
-	return Calm, "baseline rate"
+	return Calm, "usual rate"
 }
 
 // setState changes a scope's state and queues the change.
--- a/internal/storm/storm.go
+++ b/internal/storm/storm.go
@@ -168,7 +168,7 @@
 func (s *Storm) advance(now time.Duration) time.Duration {
 	if s.startedAt < 0 {
 		s.startedAt, s.now = now, now
-		s.addChange(Change{Scope: s.total.scope, From: Calm, To: Recovering, Cause: "controller start", At: now})
+		s.addChange(Change{Scope: s.total.scope, From: Calm, To: Recovering, Cause: "own start", At: now})
 		s.total.enter(now, Recovering)
 	}
 	s.now = max(s.now, now)
--- a/internal/storm/storm_test.go
+++ b/internal/storm/storm_test.go
@@ -243,9 +243,9 @@
 		}
 	}
 	play(30*time.Second, 100*time.Millisecond)
-	require.False(t, causes["all: new connections over the baseline rate"])
+	require.False(t, causes["all: new connections over the usual rate"])
 	play(5*time.Second, 10*time.Millisecond)
-	require.True(t, causes["all: new connections over the baseline rate"])
+	require.True(t, causes["all: new connections over the usual rate"])
 	require.LessOrEqual(t, len(s.groups), maxGroups)
 }
 
