--- a/internal/sipfront/conn.go
+++ b/internal/sipfront/conn.go
@@ -16,62 +16,64 @@
 )
 
 const (
-	firstWithin   = 2500 * time.Millisecond // a new connection brings its first whole message in this time
-	messageWithin = 2 * time.Second         // from the first byte of a message to its last
-	idleMost      = 10 * time.Second        // with no set-up open; callers close theirs after 4 s
-	mostFaults    = 16                      // messages at fault, one after another, before the connection ends
-	mostOpen      = 512                     // set-ups open on one connection
+	firstMessageTimeout = 2500 * time.Millisecond // from the start of a connection to the end of its first message
+	messageTimeout      = 2 * time.Second         // from the first byte of a message to its last
+	idleTimeout         = 10 * time.Second        // without open set-ups or calls; callers close theirs after 4 s
+	maxFaults           = 16                      // consecutive faulty messages before the connection is closed
+	maxPendingSetUps    = 512                     // per connection
 )
 
 var (
-	errFaults   = errors.New("too many messages at fault")
-	errRepeated = errors.New("one id for two set-ups")
-	errAnswer   = errors.New("answer to nothing")
+	errTooManyFaults      = errors.New("too many faulty messages")
+	errKeyReused          = errors.New("Call-ID reused for a different set-up")
+	errUnexpectedResponse = errors.New("response without a matching request")
 )
 
-// conn is a caller's connection. It is the core's Caller for the set-ups that came on it.
+// conn is a connection from a caller. It implements core.Caller for the set-ups received on it.
 type conn struct {
 	*stream.Writer
-	nc      net.Conn
-	front   *Front
-	group   string // of callers: the address it came from
-	born    time.Time
-	last    atomic.Int64 // Unix nanoseconds of the last message
-	faults  atomic.Int32 // messages at fault since the last good one
-	heard   atomic.Bool  // a whole message has come
-	called  atomic.Bool  // one that is not a test: whoever only tests may read nothing else
-	hadCall atomic.Bool  // a set-up that came on it stood
-
-	standing atomic.Int32 // calls that stand whose set-up came on it; changed under the front's lock
-
-	mu      sync.Mutex
-	over    bool            // nothing more is taken
-	parted  bool            // its writing half has been ended, in order
-	invites map[string]open // set-ups that are owed an answer
-	byes    map[string]sent // releases not yet heard
+	nc           net.Conn
+	front        *Front
+	group        string // caller group: the peer's IP address
+	createdAt    time.Time
+	lastReceived atomic.Int64 // Unix nanoseconds, of the last message
+	faults       atomic.Int32 // faulty messages since a set-up last succeeded
+	received     atomic.Bool  // a complete message has been received
+	usedForCalls atomic.Bool  // has received a request other than OPTIONS: test-only peers may not read releases
+	hadCall      atomic.Bool  // a set-up received on it resulted in a standing call
+
+	standingCalls atomic.Int32 // standing calls set up on it; changed under the front's lock
+
+	mu         sync.Mutex
+	closing    bool                     // no further set-ups are accepted and no releases are sent
+	halfClosed bool                     // closeGracefully has closed the writing half
+	invites    map[string]pendingInvite // set-ups awaiting their final answer, by Call-ID
+	byes       map[string]sentRelease   // unacknowledged releases, by Call-ID
 }
 
-// open is a set-up that is owed an answer, with what tells it from another under the same id.
-type open struct {
+// pendingInvite is a set-up awaiting its final answer. The hash of its content distinguishes a retransmission from a
+// different set-up with the same Call-ID.
+type pendingInvite struct {
 	message
-	sum uint64
+	hash uint64
 }
 
-// sent is a release with the time of its writing.
-type sent struct {
+// sentRelease is a release that was written to a connection.
+type sentRelease struct {
 	release
-	at time.Time // of the last writing
+	writtenAt time.Time // last time it was written
 }
 
 func newConn(f *Front, nc net.Conn) *conn {
-	c := &conn{Writer: stream.NewWriter(nc), nc: nc, front: f, group: group(nc), born: time.Now(), invites: map[string]open{},
-		byes: map[string]sent{}}
-	c.last.Store(c.born.UnixNano())
+	c := &conn{Writer: stream.NewWriter(nc), nc: nc, front: f, group: callerGroup(nc), createdAt: time.Now(),
+		invites: map[string]pendingInvite{}, byes: map[string]sentRelease{}}
+	c.lastReceived.Store(c.createdAt.UnixNano())
 	return c
 }
 
-// group is the caller group of a connection.
-func group(nc net.Conn) string {
+// callerGroup returns the caller group of a connection: the peer's IP address, or its whole address if that has no
+// port.
+func callerGroup(nc net.Conn) string {
 	host, _, err := net.SplitHostPort(nc.RemoteAddr().String())
 	if err != nil {
 		return nc.RemoteAddr().String()
@@ -79,40 +81,42 @@
 	return host
 }
 
-// serve reads the connection to its end; set-ups open on it are withdrawn then.
+// serve handles messages until reading ends, reports the pending set-ups to the engine as lost, resends the releases
+// that may not have been read, and closes the connection.
 func (c *conn) serve(r *stream.Reader) {
-	err := c.read(r)
-	if keys := c.end(); len(keys) > 0 {
+	err := c.readMessages(r)
+	if keys := c.markClosing(); len(keys) > 0 {
 		c.front.engine.CallerLost(c, keys)
-		c.front.log.Info("caller connection over", "open", len(keys), "error", err)
+		c.front.log.Info("caller connection ended", "open", len(keys), "error", err)
 	} else if err != nil && !errors.Is(err, io.EOF) {
-		c.front.log.Debug("caller connection over", "error", err)
+		c.front.log.Debug("caller connection ended", "error", err)
 	}
-	if !c.readToEnd(err) {
-		c.front.resendReleases(c) // not only once the caller has had its time to read what was left
+	if !c.cleanlyClosed(err) {
+		c.front.resendUnread(c) // before Part, which waits for the caller to read the remaining output
 	}
-	if gone := (*net.OpError)(nil); errors.Is(err, io.EOF) || errors.As(err, &gone) && !gone.Timeout() {
-		c.Finish() // the caller has ended it
+	if opErr := (*net.OpError)(nil); errors.Is(err, io.EOF) || errors.As(err, &opErr) && !opErr.Timeout() {
+		c.Finish() // the caller has closed the connection
 		<-c.Done()
 		c.Close()
 	} else {
 		c.Part()
 	}
-	c.front.gone(c)
+	c.front.removeConn(c)
 }
 
-// readToEnd tells whether the caller has ended the connection after all that was written on it, by the error of its reader.
-func (c *conn) readToEnd(err error) bool {
+// cleanlyClosed reports whether the caller closed the connection after the writing half was closed, and so has read
+// all that was written. err is the error that ended reading.
+func (c *conn) cleanlyClosed(err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.parted && errors.Is(err, io.EOF)
+	return c.halfClosed && errors.Is(err, io.EOF)
 }
 
-// end marks the connection as over and returns the set-ups that were open on it.
-func (c *conn) end() []string {
+// markClosing marks the connection as closing, and removes and returns the keys of its pending set-ups.
+func (c *conn) markClosing() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.over = true
+	c.closing = true
 	keys := make([]string, 0, len(c.invites))
 	for k := range c.invites {
 		keys = append(keys, k)
@@ -121,148 +125,150 @@
 	return keys
 }
 
-// read takes messages until the connection ends, is out of step or is not worth keeping.
-func (c *conn) read(r *stream.Reader) error {
+// readMessages handles messages until the connection ends, its framing is lost or it has sent too many faulty
+// messages.
+func (c *conn) readMessages(r *stream.Reader) error {
 	for {
-		if err := c.await(r); err != nil {
+		if err := c.awaitMessage(r); err != nil {
 			return err
 		}
-		m, err := read(r)
-		var bad *problem
-		if errors.As(err, &bad) && m.status == 0 && m.id() != "" && m.header.Get("Cseq") != "" {
-			c.reply(m, bad.status, bad.why)
+		m, err := readMessage(r)
+		var bad *messageError
+		if errors.As(err, &bad) && m.status == 0 && m.callID() != "" && m.header.Get("Cseq") != "" {
+			c.reply(m, bad.status, bad.reason)
 		}
 		if err != nil {
 			return err
 		}
-		c.last.Store(time.Now().UnixNano())
-		if err := c.take(m); err != nil {
+		c.lastReceived.Store(time.Now().UnixNano())
+		if err := c.handle(m); err != nil {
 			return err
 		}
-		if c.faults.Load() >= mostFaults { // the same again as soon as it is turned away, for ever
-			return errFaults
+		if c.faults.Load() >= maxFaults { // a caller may resend a rejected message without end
+			return errTooManyFaults
 		}
 	}
 }
 
-// await waits for the start of a message, and sets the time that the rest of it may take. Connections that say
-// nothing must not hold the descriptors of those that do.
-func (c *conn) await(r *stream.Reader) error {
-	until, heard := time.Now().Add(idleMost), c.heard.Load()
-	if !heard {
-		until = c.born.Add(firstWithin)
+// awaitMessage waits for the first byte of a message and sets the read deadline for the rest of it. It fails once the
+// connection has been idle too long, so that idle connections do not hold descriptors that active callers need.
+func (c *conn) awaitMessage(r *stream.Reader) error {
+	deadline, received := time.Now().Add(idleTimeout), c.received.Load()
+	if !received {
+		deadline = c.createdAt.Add(firstMessageTimeout)
 	}
 	for {
-		if err := c.nc.SetReadDeadline(until); err != nil {
+		if err := c.nc.SetReadDeadline(deadline); err != nil {
 			return err
 		}
 		b, err := r.R.Peek(1)
 		switch {
-		case err == nil && (b[0] == '\r' || b[0] == '\n'): // a keep-alive
-			_, _ = r.R.Discard(1) // it was peeked
-		case err == nil && !heard:
+		case err == nil && (b[0] == '\r' || b[0] == '\n'): // keep-alive
+			_, _ = r.R.Discard(1) // the byte is buffered: Discard cannot fail
+		case err == nil && !received:
 			return nil
 		case err == nil:
-			return c.nc.SetReadDeadline(time.Now().Add(messageWithin))
-		case errors.Is(err, os.ErrDeadlineExceeded) && heard && (!c.idle() || c.standing.Load() > 0):
-			until = time.Now().Add(idleMost)
+			return c.nc.SetReadDeadline(time.Now().Add(messageTimeout))
+		case errors.Is(err, os.ErrDeadlineExceeded) && received && (!c.idle() || c.standingCalls.Load() > 0):
+			deadline = time.Now().Add(idleTimeout)
 		default:
 			return err
 		}
 	}
 }
 
-// take handles a message. An error ends the connection.
-func (c *conn) take(m message) error {
+// handle handles a message. An error ends the connection.
+func (c *conn) handle(m message) error {
 	if m.status != 0 {
-		if !c.acknowledge(m) && !c.heard.Load() {
-			return errAnswer
+		if !c.acknowledgeRelease(m) && !c.received.Load() {
+			return errUnexpectedResponse
 		}
-		c.heard.Store(true)
+		c.received.Store(true)
 		return nil
 	}
-	c.heard.Store(true)
-	if m.method != "OPTIONS" && !c.called.Swap(true) {
-		defer c.front.open(c)
+	c.received.Store(true)
+	if m.method != "OPTIONS" && !c.usedForCalls.Swap(true) {
+		defer c.front.sendUnsent(c)
 	}
 	switch {
-	case m.id() == "" || m.header.Get("Cseq") == "":
-		c.fault(m, 400, "Call-ID or CSeq is missing")
+	case m.callID() == "" || m.header.Get("Cseq") == "":
+		c.replyFault(m, 400, "Call-ID or CSeq is missing")
 	case m.method == "INVITE":
-		return c.invite(m)
+		return c.handleInvite(m)
 	case m.method == "ACK":
 	case m.method == "CANCEL":
-		c.front.engine.Withdraw(c, m.id(), func(open, known bool) {
+		c.front.engine.Withdraw(c, m.callID(), func(pending, known bool) {
 			if !known {
-				c.fault(m, 481, "Call Does Not Exist")
+				c.replyFault(m, 481, "Call Does Not Exist")
 				return
 			}
 			c.reply(m, 200, "OK")
-			if open {
-				c.withdrawn(m.id())
+			if pending {
+				c.terminateInvite(m.callID())
 			}
 		})
 	case m.method == "BYE":
-		c.front.engine.Hangup(c, m.id(), m.cause(), func(known bool) {
+		c.front.engine.Hangup(c, m.callID(), m.cause(), func(known bool) {
 			if !known {
-				c.fault(m, 481, "Call Does Not Exist")
+				c.replyFault(m, 481, "Call Does Not Exist")
 				return
 			}
 			c.reply(m, 200, "OK")
-			c.withdrawn(m.id())
-			c.front.hungUp(m.id())
+			c.terminateInvite(m.callID())
+			c.front.callerHungUp(m.callID())
 		})
 	case m.method == "OPTIONS":
-		if c.front.tested() {
+		if c.front.available() {
 			c.reply(m, 200, "OK")
 		} else {
 			c.reply(m, 503, "Not Serving")
 		}
 	default:
-		c.fault(m, 405, "Method Not Allowed")
+		c.replyFault(m, 405, "Method Not Allowed")
 	}
 	return nil
 }
 
-// acknowledge takes the answer to a release, and tells whether there was one to answer.
-func (c *conn) acknowledge(m message) bool {
+// acknowledgeRelease handles a response and reports whether a release with its Call-ID was pending. A final response
+// to a BYE acknowledges the release.
+func (c *conn) acknowledgeRelease(m message) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, ok := c.byes[m.id()]
+	_, ok := c.byes[m.callID()]
 	if ok && m.method == "BYE" && m.status >= 200 {
-		delete(c.byes, m.id())
-		c.front.acknowledged.Store(true)
+		delete(c.byes, m.callID())
+		c.front.callersAcknowledge.Store(true)
 	}
 	return ok
 }
 
-// invite hands a set-up to the core. An error ends the connection.
-func (c *conn) invite(m message) error {
-	r, err := m.request()
-	var bad *problem
+// handleInvite validates a set-up and offers it to the engine. An error ends the connection.
+func (c *conn) handleInvite(m message) error {
+	r, err := m.toRequest()
+	var bad *messageError
 	if errors.As(err, &bad) {
-		c.fault(m, bad.status, bad.why)
+		c.replyFault(m, bad.status, bad.reason)
 		return nil
 	}
 	r.Caller, r.Group = c, c.group
-	o := open{message{method: m.method, header: m.header}, m.sum(c.front.seed)}
+	pending := pendingInvite{message{method: m.method, header: m.header}, m.contentHash(c.front.seed)}
 	c.mu.Lock()
 	first, repeated := c.invites[r.Key]
-	if !repeated && len(c.invites) < mostOpen && !c.over {
-		c.invites[r.Key] = o
+	if !repeated && len(c.invites) < maxPendingSetUps && !c.closing {
+		c.invites[r.Key] = pending
 	}
-	full, over := len(c.invites) >= mostOpen, c.over
+	full, closing := len(c.invites) >= maxPendingSetUps, c.closing
 	c.mu.Unlock()
 	switch {
-	case over: // the caller sees the close, and sends the set-up again
-	case repeated && first.sum != o.sum:
-		// Which of the two an answer would be to, nobody could tell: neither gets more than this one.
-		if _, ok := c.settle(r.Key); ok {
+	case closing: // the caller sees the close and resends the set-up
+	case repeated && first.hash != pending.hash:
+		// A later answer could not be attributed to one of the two set-ups: both get only this one.
+		if _, ok := c.takeInvite(r.Key); ok {
 			c.front.engine.CallerLost(c, []string{r.Key})
 			c.reply(m, 482, "Loop Detected")
 		}
-		return errRepeated
-	case repeated: // the same again: its first copy is owed the one answer
+		return errKeyReused
+	case repeated: // a retransmission: the first copy receives the only answer
 		c.faults.Add(1)
 	case full:
 		c.reply(m, 503, "Service Unavailable")
@@ -272,38 +278,38 @@
 	return nil
 }
 
-// sum tells a message's content from another's.
-func (m message) sum(seed maphash.Seed) uint64 {
+// contentHash returns a hash of the fields of a set-up that identify its content.
+func (m message) contentHash(seed maphash.Seed) uint64 {
 	var h maphash.Hash
 	h.SetSeed(seed)
 	for _, s := range []string{m.uri, m.header.Get("X-Tier"), m.header.Get("X-Attrs"), m.header.Get("X-Deadline")} {
-		_, _ = h.WriteString(s) // never fails, see maphash
+		_, _ = h.WriteString(s) // documented never to fail
 		_ = h.WriteByte(0)
 	}
 	_, _ = h.Write(m.body)
 	return h.Sum64()
 }
 
-// fault answers a message that is at fault itself, and counts it.
-func (c *conn) fault(m message, status int, reason string) {
+// replyFault rejects a faulty message and counts it towards maxFaults.
+func (c *conn) replyFault(m message, status int, reason string) {
 	c.faults.Add(1)
 	c.reply(m, status, reason)
 }
 
-// reply writes an answer without a body.
+// reply sends a response without a body.
 func (c *conn) reply(m message, status int, reason string) {
-	c.Send(end(m.answer(status, reason), nil))
+	c.Send(appendBody(m.response(status, reason), nil))
 }
 
-// withdrawn gives a set-up that its caller took back its final answer.
-func (c *conn) withdrawn(key string) {
-	if invite, ok := c.settle(key); ok {
+// terminateInvite answers a pending set-up that its caller has cancelled with 487.
+func (c *conn) terminateInvite(key string) {
+	if invite, ok := c.takeInvite(key); ok {
 		c.reply(invite.message, 487, "Request Terminated")
 	}
 }
 
-// settle takes a set-up off those that are owed an answer.
-func (c *conn) settle(key string) (open, bool) {
+// takeInvite removes a pending set-up and returns it, and whether there was one.
+func (c *conn) takeInvite(key string) (pendingInvite, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m, ok := c.invites[key]
@@ -311,19 +317,19 @@
 	return m, ok
 }
 
-// idle tells whether nothing is open on the connection.
+// idle reports whether the connection has no pending set-ups.
 func (c *conn) idle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.invites) == 0
 }
 
-// evict ends a connection with nothing open, and tells whether it did. A set-up that is read after that is not
-// taken: its caller sees the close, and sends it again on another connection.
+// evict closes a connection that has no pending set-ups, and reports whether it did. Set-ups read afterwards are
+// ignored: the caller sees the close and resends them on another connection.
 func (c *conn) evict() bool {
 	c.mu.Lock()
 	idle := len(c.invites) == 0
-	c.over = c.over || idle
+	c.closing = c.closing || idle
 	c.mu.Unlock()
 	if idle {
 		c.Finish()
@@ -331,34 +337,35 @@
 	return idle
 }
 
-// part ends the writing half of a connection with nothing open, after what is queued, and tells whether it did. What the
-// caller still sends is read until it ends the connection as well, for a time at most: a close would discard what the
-// caller has not read. A set-up that is read after that is not taken, as with evict. The front's lock is held.
-func (c *conn) part(now time.Time) bool {
+// closeGracefully closes the writing half of a connection that has no pending set-ups, once its queued output is
+// written, and reports whether it did. Reading continues until the caller closes the connection too, for at most
+// closeTimeout: an immediate close would discard output that the caller has not read. Set-ups read afterwards are
+// ignored, as after evict. The front's lock must be held.
+func (c *conn) closeGracefully(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.over || len(c.invites) > 0 {
+	if c.closing || len(c.invites) > 0 {
 		return false
 	}
-	c.over, c.parted = true, true
+	c.closing, c.halfClosed = true, true
 	c.HalfClose()
-	time.AfterFunc(c.front.within(now, partWithin), c.Close)
+	time.AfterFunc(c.front.limitWait(now, closeTimeout), c.Close)
 	return true
 }
 
-// unsettled tells whether something has come on the connection of late, or the acknowledgement of a release may. The
-// front's lock is held.
-func (c *conn) unsettled(now time.Time) bool {
-	if now.UnixNano()-c.last.Load() < int64(drainIdle) {
+// expectsTraffic reports whether a message was received within drainIdleTime, or the acknowledgement of a release may
+// still arrive. The front's lock must be held.
+func (c *conn) expectsTraffic(now time.Time) bool {
+	if now.UnixNano()-c.lastReceived.Load() < int64(drainIdleTime) {
 		return true
 	}
-	if !c.front.acknowledged.Load() {
+	if !c.front.callersAcknowledge.Load() {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.byes {
-		if now.Sub(s.at) < c.front.within(s.at, acknowledgedWithin) {
+		if now.Sub(s.writtenAt) < c.front.limitWait(s.writtenAt, drainAckWait) {
 			return true
 		}
 	}
@@ -369,15 +376,15 @@
 func (c *conn) Stands(key string, description []byte) {
 	c.faults.Store(0)
 	c.hadCall.Store(true)
-	if m, ok := c.settle(key); ok {
-		c.front.stands(key, c)
-		c.Send(end(m.answer(200, "OK"), description))
+	if m, ok := c.takeInvite(key); ok {
+		c.front.addStandingCall(key, c)
+		c.Send(appendBody(m.response(200, "OK"), description))
 	}
 }
 
 // Refuse implements core.Caller.
 func (c *conn) Refuse(key string, v core.Verdict) {
-	m, ok := c.settle(key)
+	m, ok := c.takeInvite(key)
 	if !ok {
 		return
 	}
@@ -389,46 +396,48 @@
 	case v.Failed:
 		status, reason = 500, "Server Internal Error"
 	}
-	b := m.answer(status, reason)
+	b := m.response(status, reason)
 	if wait := v.Wait.Milliseconds(); wait > 0 {
-		b = header(b, "X-Cooldown", strconv.FormatInt(wait, 10))
-		if c.front.retryAfter.Load() { // whole seconds (RFC 3261, 20.33): never sooner than was meant
-			b = header(b, "Retry-After", strconv.FormatInt((wait+999)/1000, 10))
+		b = appendHeader(b, "X-Cooldown", strconv.FormatInt(wait, 10))
+		if c.front.retryAfter.Load() { // in whole seconds (RFC 3261, 20.33), rounded up so that no retry comes early
+			b = appendHeader(b, "Retry-After", strconv.FormatInt((wait+999)/1000, 10))
 		}
 	}
-	c.Send(end(b, nil))
+	c.Send(appendBody(b, nil))
 }
 
 // Release implements core.Caller.
 func (c *conn) Release(key string, cause core.Cause) {
-	c.front.release(c, release{key: key, cause: cause, at: time.Now()})
+	c.front.sendRelease(c, release{key: key, cause: cause, endedAt: time.Now()})
 }
 
-// bye writes a release, and tells whether the connection took it.
-func (c *conn) bye(r release) bool {
+// writeRelease queues a BYE for the call, and reports whether the connection accepted it. It also forgets releases
+// written longer ago than resendWindow.
+func (c *conn) writeRelease(r release) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	for k, s := range c.byes {
-		if now.Sub(s.at) > byeAgain {
+		if now.Sub(s.writtenAt) > resendWindow {
 			delete(c.byes, k)
 		}
 	}
-	if c.over || !c.Send(bye(r.key, r.cause)) {
+	if c.closing || !c.Send(byeRequest(r.key, r.cause)) {
 		return false
 	}
-	r.sent++
-	c.byes[r.key] = sent{r, now}
+	r.sendCount++
+	c.byes[r.key] = sentRelease{r, now}
 	return true
 }
 
-// unacknowledged takes off the releases whose acknowledgement is overdue and returns them.
-func (c *conn) unacknowledged(now time.Time) []release {
+// takeOverdueReleases removes and returns the releases whose acknowledgement is overdue, except those that have been
+// sent maxReleaseSends times.
+func (c *conn) takeOverdueReleases(now time.Time) []release {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []release
 	for k, s := range c.byes {
-		if now.Sub(s.at) >= repeatAfter && s.sent < maxReleaseSent {
+		if now.Sub(s.writtenAt) >= repeatAfter && s.sendCount < maxReleaseSends {
 			out = append(out, s.release)
 			delete(c.byes, k)
 		}
@@ -436,20 +445,21 @@
 	return out
 }
 
-// releasesOut is how many releases are not acknowledged.
-func (c *conn) releasesOut() int {
+// numUnacknowledged returns the number of unacknowledged releases.
+func (c *conn) numUnacknowledged() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.byes)
 }
 
-// unreadReleases lists the releases that may not have been read.
-func (c *conn) unreadReleases() []release {
+// takeUnreadReleases removes all unacknowledged releases and returns those written within resendWindow, which the
+// caller may not have read.
+func (c *conn) takeUnreadReleases() []release {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []release
 	for _, s := range c.byes {
-		if time.Since(s.at) < byeAgain {
+		if time.Since(s.writtenAt) < resendWindow {
 			out = append(out, s.release)
 		}
 	}
--- a/internal/sipfront/front.go
+++ b/internal/sipfront/front.go
@@ -19,25 +19,27 @@
 )
 
 const (
-	byeAgain     = 2 * time.Second  // releases written so shortly before a connection ended are written again
-	mostReleases = 4096             // releases kept for the next connection
-	releaseLast  = 30 * time.Second // and how long: whoever was on the call has been told by others, or has gone
-	acceptPause  = 20 * time.Millisecond
-
-	watchInterval  = 50 * time.Millisecond
-	repeatAfter    = 600 * time.Millisecond // a release that is not acknowledged by then goes out on another connection
-	maxReleaseSent = 5                      // times in all
-	drainKeep      = 800 * time.Millisecond // after SIGTERM, connections stay for so long in any case
-	drainIdle      = 100 * time.Millisecond // and then until nothing has come on them for so long
-
-	acknowledgedWithin = 500 * time.Millisecond // a drained connection stays so long for the acknowledgement of a release
-	partWithin         = time.Second            // and so long for its caller to end it, after its writing half was ended
-	endLeast           = 100 * time.Millisecond // both are cut short before the program may be killed, to this at least
-	killReserve        = 250 * time.Millisecond // by so much, for the cores
-	shutdownInterval   = 10 * time.Millisecond
+	resendWindow      = 2 * time.Second  // releases written this shortly before a connection ends are resent
+	maxUnsentReleases = 4096             // releases kept until a connection is available
+	releaseLifetime   = 30 * time.Second // then unsent ones are dropped: the caller was informed otherwise or has left
+	acceptRetryDelay  = 20 * time.Millisecond
+
+	watchInterval   = 50 * time.Millisecond
+	repeatAfter     = 600 * time.Millisecond // unacknowledged releases are then sent on another connection
+	maxReleaseSends = 5                      // per release, the first included
+	minDrainTime    = 800 * time.Millisecond // after SIGTERM, all connections stay open at least this long,
+	drainIdleTime   = 100 * time.Millisecond // and then until they have received nothing for this long
+
+	drainAckWait     = 500 * time.Millisecond // a draining connection waits this long for an acknowledgement
+	closeTimeout     = time.Second            // and, half-closed, this long for the caller to close it
+	minCloseWait     = 100 * time.Millisecond // lower bound of both waits when the kill time shortens them
+	killReserve      = 250 * time.Millisecond // time kept before the kill for closing the connections to the cores
+	shutdownInterval = 10 * time.Millisecond
 )
 
-// Engine is what the front hands requests to. *core.Engine is one.
+// Engine handles the requests of a front; *core.Engine implements it. Linked reports a new connection of a caller
+// group. Withdraw and Hangup report through then whether the call was known and, for Withdraw, whether its set-up was
+// pending.
 type Engine interface {
 	Linked(group string)
 	Offer(r core.Request)
@@ -46,42 +48,43 @@
 	Hangup(who core.Caller, key string, cause core.Cause, then func(known bool))
 }
 
-// Front holds the callers' connections.
+// Front accepts and serves the callers' SIP connections.
 type Front struct {
-	engine Engine
-	phase  *lifecycle.Lifecycle
-	log    *slog.Logger
-	most   int         // connections
-	out    atomic.Bool // out of service: tests fail
-	seed   maphash.Seed
-
-	retryAfter atomic.Bool // refusals say Retry-After beside X-Cooldown
-	paced      *paced      // new connections get their turn, nil for at once
-
-	acknowledged atomic.Bool // callers acknowledge releases
-
-	mu      sync.Mutex
-	conns   map[*conn]struct{}
-	kill    time.Time        // when the program may be killed, zero while it has not been told to end
-	unsent  []release        // no connection was open for them
-	callers map[string]*conn // of the calls that stand: the connection of their set-up
+	engine       Engine
+	phase        *lifecycle.Lifecycle
+	log          *slog.Logger
+	maxConns     int         // connections held at a time
+	outOfService atomic.Bool // OPTIONS is answered with 503
+	seed         maphash.Seed
+
+	retryAfter  atomic.Bool  // rejections carry Retry-After in addition to X-Cooldown
+	acceptQueue *acceptQueue // paces new connections; nil if they are served at once
+
+	callersAcknowledge atomic.Bool // a caller has acknowledged a release
+
+	mu        sync.Mutex
+	conns     map[*conn]struct{}
+	killAt    time.Time        // when the process may be killed, zero before SIGTERM
+	unsent    []release        // waiting for a connection
+	callConns map[string]*conn // connection that set up each standing call
 }
 
-// release is a call that stood and is over.
+// release is the end of a call that stood, to be sent to its caller.
 type release struct {
-	key   string
-	cause core.Cause
-	at    time.Time
-	sent  int // how many times it was written
+	key       string
+	cause     core.Cause
+	endedAt   time.Time // when the call ended
+	sendCount int       // times that it has been written
 }
 
-// New returns a Front that holds at most so many connections.
-func New(engine Engine, phase *lifecycle.Lifecycle, most int, log *slog.Logger) *Front {
-	return &Front{engine: engine, phase: phase, most: max(1, most), log: log, seed: maphash.MakeSeed(),
-		conns: map[*conn]struct{}{}, callers: map[string]*conn{}}
+// New returns a Front that holds at most maxConns connections, but at least one.
+func New(engine Engine, phase *lifecycle.Lifecycle, maxConns int, log *slog.Logger) *Front {
+	return &Front{engine: engine, phase: phase, maxConns: max(1, maxConns), log: log, seed: maphash.MakeSeed(),
+		conns: map[*conn]struct{}{}, callConns: map[string]*conn{}}
 }
 
-// Serve accepts callers until the context ends or the listener fails.
+// Serve accepts connections from l until the context ends, in which case it returns nil, or the listener is closed.
+// Connections that are already open stay open. It closes l when the context ends.
 func (f *Front) Serve(ctx context.Context, l net.Listener) error {
 	defer context.AfterFunc(ctx, func() { l.Close() })()
 	go f.watch(ctx)
@@ -92,23 +95,24 @@
 			return nil
 		case errors.Is(err, net.ErrClosed):
 			return fmt.Errorf("sipfront: accept: %w", err)
-		case err != nil: // no descriptor, or a connection that ended before it was taken: others will come
+		case err != nil: // out of descriptors, or the connection was aborted before accept: later ones can succeed
 			f.log.Warn("accept", "error", err)
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 		default:
 			f.admit(c)
 		}
 	}
 }
 
-// SetRetryAfter has refusals say Retry-After (RFC 3261, 20.33) beside X-Cooldown.
+// SetRetryAfter sets whether rejections carry Retry-After (RFC 3261, 20.33) in addition to X-Cooldown.
 func (f *Front) SetRetryAfter(on bool) { f.retryAfter.Store(on) }
 
-// take starts a connection, in place of another where there are as many as may be.
-func (f *Front) take(nc net.Conn) {
+// addConn starts serving a connection. At the limit it evicts another one, or closes the new one if none can be
+// evicted.
+func (f *Front) addConn(nc net.Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.conns) >= f.most && !f.makeRoom() {
+	if len(f.conns) >= f.maxConns && !f.evictOne() {
 		f.log.Warn("too many connections", "open", len(f.conns))
 		nc.Close()
 		return
@@ -121,19 +125,21 @@
 	}()
 }
 
-// SetMost sets how many connections may be held; those over it go as their turn comes to make room.
-func (f *Front) SetMost(n int) {
+// SetMost sets the maximum number of connections, at least one. Idle connections above it are evicted at once; the
+// number stays above it while the others have pending set-ups.
+func (f *Front) SetMost(maxConns int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for f.most = max(1, n); len(f.conns) > f.most && f.makeRoom(); {
+	for f.maxConns = max(1, maxConns); len(f.conns) > f.maxConns && f.evictOne(); {
 	}
 }
 
-// rank orders connections by what they are worth keeping: those that have said nothing go first, then those on
-// which no call ever stood. Hundreds that connect and say nothing push each other out, not the usual callers.
+// rank returns the priority of a connection: lower ranks are evicted first. It is 0 before the first message, 1
+// before the first standing call, and 2 after that. So hundreds of connections that send nothing evict each other and
+// not the regular callers.
 func (c *conn) rank() int {
 	switch {
-	case !c.heard.Load():
+	case !c.received.Load():
 		return 0
 	case !c.hadCall.Load():
 		return 1
@@ -141,77 +147,79 @@
 	return 2
 }
 
-// makeRoom ends the connection that is worth least and, among those, has been silent longest. The lock is held.
-func (f *Front) makeRoom() bool {
-	var least *conn
+// evictOne evicts the idle connection of the lowest rank that has received nothing for the longest time, and reports
+// whether it did. The lock must be held.
+func (f *Front) evictOne() bool {
+	var victim *conn
 	for c := range f.conns {
-		if c.idle() && (least == nil || c.rank() < least.rank() ||
-			c.rank() == least.rank() && c.last.Load() < least.last.Load()) {
-			least = c
+		if c.idle() && (victim == nil || c.rank() < victim.rank() ||
+			c.rank() == victim.rank() && c.lastReceived.Load() < victim.lastReceived.Load()) {
+			victim = c
 		}
 	}
-	if least == nil || !least.evict() { // a set-up came in between
+	if victim == nil || !victim.evict() { // a set-up arrived in between
 		return false
 	}
-	delete(f.conns, least)
+	delete(f.conns, victim)
 	return true
 }
 
-// open takes a connection's first message that is not a test: releases that waited for a connection go out on it. Not
-// before: one that says nothing, or only tests, may never read them.
-func (f *Front) open(c *conn) {
+// sendUnsent sends the releases that wait for a connection, on c. It is called at the first request on c that is not
+// a test: a peer that sends nothing or only tests may never read them.
+func (f *Front) sendUnsent(c *conn) {
 	f.mu.Lock()
 	unsent := f.unsent
 	f.unsent = nil
 	f.mu.Unlock()
 	for _, r := range unsent {
-		if time.Since(r.at) < releaseLast {
-			f.release(c, r)
+		if time.Since(r.endedAt) < releaseLifetime {
+			f.sendRelease(c, r)
 		}
 	}
 }
 
-// gone takes a connection off.
-func (f *Front) gone(c *conn) {
+// removeConn removes a connection and the records of the standing calls set up on it.
+func (f *Front) removeConn(c *conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.conns, c)
-	if c.standing.Load() == 0 {
+	if c.standingCalls.Load() == 0 {
 		return
 	}
-	for key, on := range f.callers {
-		if on == c {
-			delete(f.callers, key)
+	for key, callConn := range f.callConns {
+		if callConn == c {
+			delete(f.callConns, key)
 		}
 	}
 }
 
-// stands notes that a call stands whose set-up came on a connection.
-func (f *Front) stands(key string, on *conn) {
+// addStandingCall records that a call set up on a connection stands.
+func (f *Front) addStandingCall(key string, on *conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, open := f.conns[on]; open {
-		f.callers[key] = on
-		on.standing.Add(1)
+		f.callConns[key] = on
+		on.standingCalls.Add(1)
 	}
 }
 
-// over notes that a call that stood is over. The lock is held.
-func (f *Front) over(key string) {
-	if c := f.callers[key]; c != nil {
-		delete(f.callers, key)
-		c.standing.Add(-1)
+// removeStandingCall records that a standing call has ended. The lock must be held.
+func (f *Front) removeStandingCall(key string) {
+	if c := f.callConns[key]; c != nil {
+		delete(f.callConns, key)
+		c.standingCalls.Add(-1)
 	}
 }
 
-// hungUp notes that a caller has ended its call.
-func (f *Front) hungUp(key string) {
+// callerHungUp records that a caller has ended its call.
+func (f *Front) callerHungUp(key string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.over(key)
+	f.removeStandingCall(key)
 }
 
-// watch repeats releases that were not acknowledged, and ends idle connections while the program drains.
+// watch repeats unacknowledged releases, and closes idle connections while the program drains. It returns when the
+// context ends.
 func (f *Front) watch(ctx context.Context) {
 	tick := time.NewTicker(watchInterval)
 	defer tick.Stop()
@@ -221,180 +229,186 @@
 			return
 		case now := <-tick.C:
 			f.repeatReleases(now)
-			if since := f.phase.Since(lifecycle.Draining); since > drainKeep {
+			if since := f.phase.Since(lifecycle.Draining); since > minDrainTime {
 				f.closeIdle(now)
 			}
 		}
 	}
 }
 
-// repeatReleases sends releases again on other connections that were not acknowledged: their own may be cut without a
-// sign. Where callers acknowledge none, a connection counts as cut that has been silent since while another has not.
+// repeatReleases resends overdue releases on other connections, as their own connection may have failed undetected.
+// As long as no caller has acknowledged a release, a connection counts as failed only if it is unresponsive.
 func (f *Front) repeatReleases(now time.Time) {
-	acknowledged := f.acknowledged.Load()
+	callersAcknowledge := f.callersAcknowledge.Load()
 	f.mu.Lock()
-	var late []release
+	var overdue []release
 	var from []*conn
 	for c := range f.conns {
-		if !acknowledged && !f.silentAlone(c, now.Add(-repeatAfter)) {
+		if !callersAcknowledge && !f.unresponsive(c, now.Add(-repeatAfter)) {
 			continue
 		}
-		for _, r := range c.unacknowledged(now) {
-			late, from = append(late, r), append(from, c)
+		for _, r := range c.takeOverdueReleases(now) {
+			overdue, from = append(overdue, r), append(from, c)
 		}
 	}
 	f.mu.Unlock()
-	for i, r := range late {
-		f.log.Info("release_repeated", "call", r.key, "sent", r.sent, "after", now.Sub(r.at))
-		f.releaseElsewhere(from[i], r)
+	for i, r := range overdue {
+		f.log.Info("release_repeated", "call", r.key, "sent", r.sendCount, "after", now.Sub(r.endedAt))
+		f.sendReleaseElsewhere(from[i], r)
 	}
 }
 
-// silentAlone tells whether a connection has brought nothing since a time, and another has. The lock is held.
-func (f *Front) silentAlone(c *conn, since time.Time) bool {
-	if c.last.Load() > since.UnixNano() {
+// unresponsive reports whether c has received nothing since the given time while another connection that is used for
+// calls has. The lock must be held.
+func (f *Front) unresponsive(c *conn, since time.Time) bool {
+	if c.lastReceived.Load() > since.UnixNano() {
 		return false
 	}
 	for other := range f.conns {
-		if other != c && other.called.Load() && other.last.Load() > since.UnixNano() {
+		if other != c && other.usedForCalls.Load() && other.lastReceived.Load() > since.UnixNano() {
 			return true
 		}
 	}
 	return false
 }
 
-// closeIdle parts with the connections on which nothing is left. A set-up that crosses that is sent again by its caller.
+// closeIdle gracefully closes the connections without pending set-ups, standing calls or expected messages. A set-up
+// that crosses the close is resent by its caller.
 func (f *Front) closeIdle(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
-		if c.standing.Load() == 0 && !c.unsettled(now) {
-			c.part(now)
+		if c.standingCalls.Load() == 0 && !c.expectsTraffic(now) {
+			c.closeGracefully(now)
 		}
 	}
 }
 
-// resendReleases sends the releases that may not have been read on a connection that is over on another.
-func (f *Front) resendReleases(c *conn) {
-	for _, r := range c.unreadReleases() {
-		f.release(nil, r)
+// resendUnread sends the releases that may not have been read on a closed connection on another one.
+func (f *Front) resendUnread(c *conn) {
+	for _, r := range c.takeUnreadReleases() {
+		f.sendRelease(nil, r)
 	}
 }
 
-// release tells a caller that a call is over, on the connection named if it is open, else on another: no connection
-// owns a call that stands.
-func (f *Front) release(on *conn, r release) {
+// sendRelease sends a release on the given connection if that is open and accepts it, otherwise on another one: a
+// standing call is not bound to a connection. on may be nil.
+func (f *Front) sendRelease(on *conn, r release) {
 	f.mu.Lock()
-	f.over(r.key)
+	f.removeStandingCall(r.key)
 	_, open := f.conns[on]
-	told := open && on.bye(r)
+	written := open && on.writeRelease(r)
 	f.mu.Unlock()
-	f.log.Debug("call_released", "call", r.key, "cause", r.cause, "own_connection", told)
-	if !told {
-		f.releaseElsewhere(on, r)
+	f.log.Debug("call_released", "call", r.key, "cause", r.cause, "own_connection", written)
+	if !written {
+		f.sendReleaseElsewhere(on, r)
 	}
 }
 
-// releaseElsewhere tells a caller on another connection that a call is over: on the one of most worth that was heard
-// last, or on the next.
-func (f *Front) releaseElsewhere(than *conn, r release) {
+// sendReleaseElsewhere sends a release on a connection other than except that is used for calls. It tries them by
+// descending rank, then by the most recent message. If none accepts it, the release is kept for later, or dropped if
+// maxUnsentReleases are kept already.
+func (f *Front) sendReleaseElsewhere(except *conn, r release) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var others []*conn
 	for c := range f.conns {
-		if c != than && c.called.Load() {
+		if c != except && c.usedForCalls.Load() {
 			others = append(others, c)
 		}
 	}
 	slices.SortFunc(others, func(a, b *conn) int {
-		return cmp.Or(cmp.Compare(b.rank(), a.rank()), cmp.Compare(b.last.Load(), a.last.Load()))
+		return cmp.Or(cmp.Compare(b.rank(), a.rank()), cmp.Compare(b.lastReceived.Load(), a.lastReceived.Load()))
 	})
 	for _, c := range others {
-		if c.bye(r) {
+		if c.writeRelease(r) {
 			return
 		}
 	}
 	f.log.Info("release_waits", "call", r.key, "connections", len(f.conns))
-	if len(f.unsent) < mostReleases {
+	if len(f.unsent) < maxUnsentReleases {
 		f.unsent = append(f.unsent, r)
 	}
 }
 
-// ReleaseOrphan releases a call whose connection is not known, as one that an earlier process set up.
+// ReleaseOrphan releases a call whose connection is not known, for example one set up by an earlier process.
 func (f *Front) ReleaseOrphan(key string, cause core.Cause) {
-	f.release(nil, release{key: key, cause: cause, at: time.Now()})
+	f.sendRelease(nil, release{key: key, cause: cause, endedAt: time.Now()})
 }
 
-// Drain tells when the program may be killed, once it has been told to end.
-func (f *Front) Drain(kill time.Time) {
+// Drain sets the time at which the process may be killed. It is called on SIGTERM; waits for callers are then
+// shortened to end before that time.
+func (f *Front) Drain(killAt time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.kill = kill
+	f.killAt = killAt
 }
 
-// within cuts a wait that begins at a time short of the kill, where that is ahead. The lock is held.
-func (f *Front) within(from time.Time, wait time.Duration) time.Duration {
-	if left := f.kill.Sub(from); left > 0 {
-		return max(endLeast, min(wait, left-killReserve))
+// limitWait shortens a wait that begins at from to end killReserve before the kill time, but not below minCloseWait.
+// It returns the wait unchanged if no kill time lies after from. The lock must be held.
+func (f *Front) limitWait(from time.Time, wait time.Duration) time.Duration {
+	if untilKill := f.killAt.Sub(from); untilKill > 0 {
+		return max(minCloseWait, min(wait, untilKill-killReserve))
 	}
 	return wait
 }
 
-// Unfinished is what a Shutdown has left, by reason.
+// Unfinished counts the releases and connections that Shutdown could not complete.
 type Unfinished struct {
-	Unacknowledged int // releases written on connections that their callers had not ended
-	Unsent         int // releases for which there was no connection
-	Open           int // connections that their callers had not ended
+	Unacknowledged int // releases written to the remaining connections and not acknowledged
+	Unsent         int // releases that found no connection
+	Open           int // connections that the callers had not closed
 }
 
-// Shutdown ends all connections in order, once no call is left: each when it is settled, and those that never are when it
-// is time. It returns once their callers have ended them too, at the given time at the latest. Meanwhile the engine has to
-// go on: set-ups that still come are owed their refusals.
-func (f *Front) Shutdown(until time.Time) Unfinished {
-	for now := time.Now(); now.Before(until) && f.partSettled(now, until) > 0; now = time.Now() {
+// Shutdown closes all connections gracefully; it is called when no call is left. Each is closed once no more messages
+// are expected on it, or closeTimeout before the deadline. It returns when the callers have closed theirs too, or at
+// the deadline. The engine must keep running meanwhile, to reject set-ups that still arrive.
+func (f *Front) Shutdown(deadline time.Time) Unfinished {
+	for now := time.Now(); now.Before(deadline) && f.closeSettled(now, deadline) > 0; now = time.Now() {
 		time.Sleep(shutdownInterval)
 	}
 	f.mu.Lock()
-	left := Unfinished{Unsent: len(f.unsent), Open: len(f.conns)}
+	unfinished := Unfinished{Unsent: len(f.unsent), Open: len(f.conns)}
 	for c := range f.conns {
-		left.Unacknowledged += c.releasesOut()
+		unfinished.Unacknowledged += c.numUnacknowledged()
 	}
 	f.mu.Unlock()
 	f.Close()
-	return left
+	return unfinished
 }
 
-// Close ends all connections, whether what was written on them has been read or not.
+// Close closes all connections after writing their queued output, without waiting for the callers to read it. It also
+// closes the connections that wait to be served and those accepted later.
 func (f *Front) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
 		c.Finish()
 	}
-	if f.paced != nil {
-		f.paced.close()
+	if f.acceptQueue != nil {
+		f.acceptQueue.close()
 	}
 }
 
-// partSettled parts with the connections that are settled, or with all when there is just time for that, and returns how
-// many there are.
-func (f *Front) partSettled(now, until time.Time) int {
-	last := until.Sub(now) <= partWithin
+// closeSettled gracefully closes the connections on which no message is expected, or all of them from closeTimeout
+// before the deadline on. It returns the number of connections that are open.
+func (f *Front) closeSettled(now, deadline time.Time) int {
+	closeAll := deadline.Sub(now) <= closeTimeout
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
-		if last || !c.unsettled(now) {
-			c.part(now)
+		if closeAll || !c.expectsTraffic(now) {
+			c.closeGracefully(now)
 		}
 	}
 	return len(f.conns)
 }
 
-// SetInService tells whether tests pass. Calls are taken all the same.
-func (f *Front) SetInService(in bool) { f.out.Store(!in) }
+// SetInService sets whether OPTIONS requests may succeed. Set-ups are accepted in either case.
+func (f *Front) SetInService(inService bool) { f.outOfService.Store(!inService) }
 
-// tested tells whether a test passes now.
-func (f *Front) tested() bool {
+// available reports whether OPTIONS is answered with 200: the program is ready and in service.
+func (f *Front) available() bool {
 	s := f.phase.State()
-	return (s == lifecycle.Ready || s == lifecycle.Serving) && !f.out.Load()
+	return (s == lifecycle.Ready || s == lifecycle.Serving) && !f.outOfService.Load()
 }
--- a/internal/sipfront/pace.go
+++ b/internal/sipfront/pace.go
@@ -9,92 +9,92 @@
 	"brookmux/internal/storm"
 )
 
-// paced holds new connections until storm's pacer gives them their turn. They are accepted and not yet read: what
-// their callers send waits in the kernel.
-type paced struct {
+// acceptQueue holds new connections until the pacer schedules them. They are accepted but not read: what their
+// callers send stays in the kernel's buffers.
+type acceptQueue struct {
 	mu      sync.Mutex
 	pacer   *storm.Pacer
 	origin  time.Time
-	next    uint64
+	lastID  uint64
 	waiting map[uint64]net.Conn
 	timer   *time.Timer
 	closed  bool
 }
 
-// SetPace gives new connections their turn; it is called before Serve.
+// SetPace paces new connections with p. It must be called before Serve.
 func (f *Front) SetPace(p *storm.Pacer) {
-	f.paced = &paced{pacer: p, origin: time.Now(), waiting: map[uint64]net.Conn{}}
+	f.acceptQueue = &acceptQueue{pacer: p, origin: time.Now(), waiting: map[uint64]net.Conn{}}
 }
 
-// admit takes a new connection: at once, in its turn, or not at all.
+// admit serves a new connection at once, queues it, or closes it if the pacer rejects it.
 func (f *Front) admit(nc net.Conn) {
-	p := f.paced
-	if p == nil {
-		f.take(nc)
+	q := f.acceptQueue
+	if q == nil {
+		f.addConn(nc)
 		return
 	}
-	p.mu.Lock()
-	if p.closed {
-		p.mu.Unlock()
+	q.mu.Lock()
+	if q.closed {
+		q.mu.Unlock()
 		nc.Close()
 		return
 	}
-	p.next++
-	served, waits := p.pacer.Come(time.Since(p.origin), maphash.String(f.seed, group(nc)), p.next)
+	q.lastID++
+	admitted, waits := q.pacer.Come(time.Since(q.origin), maphash.String(f.seed, callerGroup(nc)), q.lastID)
 	if waits {
-		p.waiting[p.next] = nc
-		if p.timer == nil {
-			p.timer = time.AfterFunc(0, f.turns)
+		q.waiting[q.lastID] = nc
+		if q.timer == nil {
+			q.timer = time.AfterFunc(0, f.serveWaiting)
 		}
 	}
-	p.mu.Unlock()
-	if served {
-		f.take(nc)
+	q.mu.Unlock()
+	if admitted {
+		f.addConn(nc)
 	} else if !waits {
-		f.log.Debug("connection over the pace", "from", nc.RemoteAddr().String())
+		f.log.Debug("connection rejected by the pacer", "from", nc.RemoteAddr().String())
 		nc.Close()
 	}
 }
 
-// turns serves the connections whose turn has come, and ends those that have waited too long.
-func (f *Front) turns() {
-	p := f.paced
-	p.mu.Lock()
-	if p.closed { // the timer had fired before the close
-		p.mu.Unlock()
+// serveWaiting serves the queued connections that are due and closes those that have waited too long.
+func (f *Front) serveWaiting() {
+	q := f.acceptQueue
+	q.mu.Lock()
+	if q.closed { // the timer fired before close
+		q.mu.Unlock()
 		return
 	}
-	served, late, again := p.pacer.Next(time.Since(p.origin))
-	take, end := p.leave(served), p.leave(late)
-	if p.timer = nil; again > 0 {
-		p.timer = time.AfterFunc(again, f.turns)
+	due, expired, delay := q.pacer.Next(time.Since(q.origin))
+	dueConns, expiredConns := q.takeWaiting(due), q.takeWaiting(expired)
+	if q.timer = nil; delay > 0 {
+		q.timer = time.AfterFunc(delay, f.serveWaiting)
 	}
-	p.mu.Unlock()
-	for _, nc := range take {
-		f.take(nc)
+	q.mu.Unlock()
+	for _, nc := range dueConns {
+		f.addConn(nc)
 	}
-	for _, nc := range end {
+	for _, nc := range expiredConns {
 		nc.Close()
 	}
 }
 
-// leave takes connections off those that wait. The lock is held.
-func (p *paced) leave(ids []uint64) []net.Conn {
+// takeWaiting removes queued connections and returns them. The lock must be held.
+func (q *acceptQueue) takeWaiting(ids []uint64) []net.Conn {
 	var out []net.Conn
 	for _, id := range ids {
-		out = append(out, p.waiting[id])
-		delete(p.waiting, id)
+		out = append(out, q.waiting[id])
+		delete(q.waiting, id)
 	}
 	return out
 }
 
-// close ends the connections that wait, and those that come after.
-func (p *paced) close() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.closed = true
-	for id, nc := range p.waiting {
+// close closes the queued connections and rejects those that arrive later.
+func (q *acceptQueue) close() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.closed = true
+	for id, nc := range q.waiting {
 		nc.Close()
-		delete(p.waiting, id)
+		delete(q.waiting, id)
 	}
 }
--- a/internal/sipfront/pace_test.go
+++ b/internal/sipfront/pace_test.go
@@ -16,21 +16,22 @@
 	"brookmux/internal/storm"
 )
 
-const options = "OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: %016x\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n"
+const optionsRequest = "OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: %016x\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n"
 
-// engine takes connections and nothing else.
-type engine struct{ Engine }
+// stubEngine ignores new connections; any other call panics.
+type stubEngine struct{ Engine }
 
-func (engine) Linked(string) {}
+func (stubEngine) Linked(string) {}
 
-// TestReconnects: one group reconnects by thousands, with what 256 descriptors leave for callers; another is
-// served all the while, and no connection is held beside those that may be.
+// TestReconnects guards against a group with thousands of reconnections locking out the others, within the
+// connections that 256 descriptors leave for callers. Another group must be served throughout, and the limits on open
+// and on queued connections must hold.
 func TestReconnects(t *testing.T) {
-	const most, waiting = 256 / 3, 20
+	const maxConns, maxWaiting = 256 / 3, 20
 	phase := &lifecycle.Lifecycle{}
 	require.NoError(t, phase.To(lifecycle.Ready))
-	f := New(engine{}, phase, most-waiting, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	p, err := storm.NewPacer(storm.Pace{PerSecond: 400, Burst: 20, Waiting: waiting})
+	f := New(stubEngine{}, phase, maxConns-maxWaiting, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	p, err := storm.NewPacer(storm.Pace{PerSecond: 400, Burst: 20, Waiting: maxWaiting})
 	require.NoError(t, err)
 	f.SetPace(p)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,7 +47,7 @@
 		return c
 	}
 	flooded := make(chan struct{})
-	go func() { // it reconnects as soon as it is let go, or was served
+	go func() { // reconnects at once, whether rejected or served
 		defer close(flooded)
 		for i := range 2000 {
 			d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP("127.0.0.2")}}
@@ -54,8 +55,8 @@
 			if err != nil {
 				continue
 			}
-			fmt.Fprintf(c, options, i)
-			if i%8 != 0 { // most don't wait for an answer
+			fmt.Fprintf(c, optionsRequest, i)
+			if i%8 != 0 { // these stay open until the flood ends
 				defer c.Close()
 			} else {
 				c.Close()
@@ -63,9 +64,9 @@
 		}
 	}()
 	for i := range 20 {
-		for answered := false; !answered; { // one that found no place comes again
+		for answered := false; !answered; { // retries when rejected
 			c := dial("127.0.0.3")
-			fmt.Fprintf(c, options, 1<<20+i)
+			fmt.Fprintf(c, optionsRequest, 1<<20+i)
 			require.NoError(t, c.SetDeadline(time.Now().Add(20*time.Second)))
 			line, err := bufio.NewReader(c).ReadString('\n')
 			if answered = err == nil; answered {
@@ -74,17 +75,17 @@
 			c.Close()
 		}
 		f.mu.Lock()
-		require.LessOrEqual(t, len(f.conns), most-waiting)
+		require.LessOrEqual(t, len(f.conns), maxConns-maxWaiting)
 		f.mu.Unlock()
-		f.paced.mu.Lock()
-		require.LessOrEqual(t, len(f.paced.waiting), waiting)
-		f.paced.mu.Unlock()
+		f.acceptQueue.mu.Lock()
+		require.LessOrEqual(t, len(f.acceptQueue.waiting), maxWaiting)
+		f.acceptQueue.mu.Unlock()
 	}
 	<-flooded
 	cancel()
 	require.NoError(t, <-served)
 	f.Close()
-	f.paced.mu.Lock()
-	defer f.paced.mu.Unlock()
-	require.Empty(t, f.paced.waiting)
+	f.acceptQueue.mu.Lock()
+	defer f.acceptQueue.mu.Unlock()
+	require.Empty(t, f.acceptQueue.waiting)
 }
--- a/internal/sipfront/release_test.go
+++ b/internal/sipfront/release_test.go
@@ -15,26 +15,26 @@
 	"brookmux/internal/lifecycle"
 )
 
-const ack = "ACK sip:ping@net SIP/2.0\r\nCall-ID: %016x\r\nCSeq: 1 ACK\r\nContent-Length: 0\r\n\r\n"
+const ackRequest = "ACK sip:ping@net SIP/2.0\r\nCall-ID: %016x\r\nCSeq: 1 ACK\r\nContent-Length: 0\r\n\r\n"
 
-// caller is the far end of a connection, whose messages are noted with the time since the test's start.
+// caller is the far end of a connection. It records when each BYE arrives, as the time since the start of the test.
 type caller struct {
 	net.Conn
-	conn *conn
-	byes []time.Duration
+	conn     *conn
+	byeTimes []time.Duration
 }
 
-// newFront returns a front with so many callers' connections that are watched until the test ends.
-func newFront(t *testing.T, callers int) (*Front, []*caller) {
+// newFront returns a front with numCallers connected callers. The front's watch runs until the test ends.
+func newFront(t *testing.T, numCallers int) (*Front, []*caller) {
 	phase := &lifecycle.Lifecycle{}
 	require.NoError(t, phase.To(lifecycle.Ready))
-	f := New(engine{}, phase, 10, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	f := New(stubEngine{}, phase, 10, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	go f.watch(t.Context())
-	began := time.Now()
+	start := time.Now()
 	var out []*caller
-	for range callers {
+	for range numCallers {
 		near, far := net.Pipe()
-		f.take(half{near})
+		f.addConn(halfCloser{near})
 		c := &caller{Conn: far}
 		out = append(out, c)
 		go func() {
@@ -44,15 +44,15 @@
 					return
 				}
 				if line == "BYE sip:peer@net SIP/2.0\r\n" {
-					c.byes = append(c.byes, time.Since(began))
+					c.byeTimes = append(c.byeTimes, time.Since(start))
 				}
 			}
 		}()
-		fmt.Fprintf(far, ack, len(out))
+		fmt.Fprintf(far, ackRequest, len(out))
 		synctest.Wait()
 		f.mu.Lock()
 		for x := range f.conns {
-			if x.nc.(half).Conn == near {
+			if x.nc.(halfCloser).Conn == near {
 				c.conn = x
 			}
 		}
@@ -62,7 +62,7 @@
 	return f, out
 }
 
-// openConnections is how many connections are open.
+// openConnections returns the number of open connections.
 func openConnections(f *Front) int {
 	synctest.Wait()
 	f.mu.Lock()
@@ -70,49 +70,50 @@
 	return len(f.conns)
 }
 
-// TestReleaseRepeated: a release that is not acknowledged goes out on another connection within a second, where callers
-// acknowledge releases, or where its connection alone is silent.
+// TestReleaseRepeated: an unacknowledged release is sent on another connection within a second, if callers
+// acknowledge releases, or if its connection is the only unresponsive one.
 func TestReleaseRepeated(t *testing.T) {
 	for _, acknowledges := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			f, callers := newFront(t, 2)
-			f.acknowledged.Store(acknowledges)
-			f.release(callers[0].conn, release{key: "a1", cause: 16, at: time.Now()})
+			f.callersAcknowledge.Store(acknowledges)
+			f.sendRelease(callers[0].conn, release{key: "a1", cause: 16, endedAt: time.Now()})
 			time.Sleep(500 * time.Millisecond)
 			if !acknowledges {
-				fmt.Fprintf(callers[1], ack, 7)
+				fmt.Fprintf(callers[1], ackRequest, 7)
 			}
 			time.Sleep(490 * time.Millisecond)
 			synctest.Wait()
-			require.Len(t, callers[0].byes, 1)
-			require.Len(t, callers[1].byes, 1)
+			require.Len(t, callers[0].byeTimes, 1)
+			require.Len(t, callers[1].byeTimes, 1)
 		})
 	}
 }
 
-// TestReleaseNotRepeated: where no callers acknowledge, and all connections are as silent, nothing tells of a cut.
+// TestReleaseNotRepeated: if no caller acknowledges releases and no connection receives anything, nothing indicates a
+// failed connection, and the release is not repeated.
 func TestReleaseNotRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, callers := newFront(t, 2)
-		f.release(callers[0].conn, release{key: "a1", cause: 16, at: time.Now()})
+		f.sendRelease(callers[0].conn, release{key: "a1", cause: 16, endedAt: time.Now()})
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
-		require.Len(t, callers[0].byes, 1)
-		require.Empty(t, callers[1].byes)
+		require.Len(t, callers[0].byeTimes, 1)
+		require.Empty(t, callers[1].byeTimes)
 	})
 }
 
-// TestStandingCallsKeepConnection: a connection on which a call stands is not closed as idle, and goes last to make
-// room; once the call is over it is closed.
+// TestStandingCallsKeepConnection: a connection with a standing call is not closed as idle; it is closed after the
+// call has ended.
 func TestStandingCallsKeepConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, callers := newFront(t, 2)
-		f.stands("a1", callers[0].conn)
-		time.Sleep(3 * idleMost)
+		f.addStandingCall("a1", callers[0].conn)
+		time.Sleep(3 * idleTimeout)
 		require.Equal(t, 1, openConnections(f))
-		f.release(callers[0].conn, release{key: "a1", cause: 16, at: time.Now()})
-		time.Sleep(2 * idleMost)
+		f.sendRelease(callers[0].conn, release{key: "a1", cause: 16, endedAt: time.Now()})
+		time.Sleep(2 * idleTimeout)
 		require.Zero(t, openConnections(f))
-		require.Empty(t, f.callers)
+		require.Empty(t, f.callConns)
 	})
 }
