--- a/internal/testhost/testhost.go
+++ b/internal/testhost/testhost.go
@@ -1,5 +1,6 @@
-// Package testhost gives each test or trial a loopback address of its own. A port that one has closed may be given out
-// again at once, and whoever still dials it would reach another's listener; at an address of its own nobody else does.
+// Package testhost provides each test or trial with its own loopback address. The system may reassign a closed port
+// at once, and a program that still dials it would then reach the listener of another test; with separate addresses
+// it does not.
 package testhost
 
 import (
@@ -9,16 +10,17 @@
 )
 
 const (
-	hosts    = 254 // of a process, one after another
-	networks = 254 // by process, each of 256 processes
+	hostsPerProcess = 254 // assigned in rotation
+	secondOctets    = 254 // by process id, each for 256 consecutive ids
 )
 
-var last atomic.Uint32
+var lastIndex atomic.Uint32
 
-// Host returns an address in 127.0.0.0/8 that no other test of this process has had among its last 253, and no process
-// uses whose id is not a multiple of 65,024 away.
-func Host() string { return address(os.Getpid(), last.Add(1)) }
+// Host returns an address in 127.0.0.0/8 that differs from the last 253 addresses returned in this process. Two
+// processes share addresses only if their ids differ by a multiple of 65,024.
+func Host() string { return address(os.Getpid(), lastIndex.Add(1)) }
 
+// address returns the n-th address of a process, in rotation.
 func address(pid int, n uint32) string {
-	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>8%networks, pid&0xff, 1+n%hosts)
+	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>8%secondOctets, pid&0xff, 1+n%hostsPerProcess)
 }
