--- a/example/toycore/main.go
+++ b/example/toycore/main.go
@@ -1,5 +1,5 @@
-// Command toycore is a core to try brookmux with: it answers each set-up with a description of its own and
-// ends the call after two seconds. It listens on loopback only.
+// Command toycore is a minimal core for trying brookmux: it answers each set-up with a fixed session description and
+// releases the call after two seconds. It listens on loopback only.
 package main
 
 import (
@@ -14,81 +14,82 @@
 )
 
 const (
-	address = "127.0.0.1:6001"
-	hold    = 2 * time.Second
-	circuit = 30
-	most    = 16 << 10
+	listenAddress = "127.0.0.1:6001"
+	callDuration  = 2 * time.Second
+	totalCircuits = 30
+	maxMessage    = 16 << 10
 )
 
 func main() {
-	l, err := net.Listen("tcp", address)
+	l, err := net.Listen("tcp", listenAddress)
 	if err != nil {
 		log.Fatal(err)
 	}
-	log.Println("toy core listens at", address)
+	log.Println("toy core listening on", listenAddress)
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			log.Fatal(err)
 		}
-		go (&toy{conn: c, calls: map[string]*time.Timer{}}).serve()
+		go (&session{conn: c, calls: map[string]*time.Timer{}}).serve()
 	}
 }
 
-// toy is a connection with the calls that stand on it.
-type toy struct {
+// session is a connection with its standing calls, by call key.
+type session struct {
 	conn  net.Conn
 	mu    sync.Mutex
 	calls map[string]*time.Timer
 }
 
-// say writes a line; the fields tell how many circuits are free. The lock is held.
-func (t *toy) say(kind, id, more string) {
-	fmt.Fprintf(t.conn, `{"type":%q,"id":%q,"fields":{"load":"x0:%d;x1:%d"}%s}`+"\n", kind, id, circuit-len(t.calls), circuit, more)
+// send writes a message whose load field reports the free and the total circuits. The lock must be held.
+func (s *session) send(kind, id, extra string) {
+	fmt.Fprintf(s.conn, `{"type":%q,"id":%q,"fields":{"load":"x0:%d;x1:%d"}%s}`+"\n", kind, id,
+		totalCircuits-len(s.calls), totalCircuits, extra)
 }
 
-// serve reads the connection to its end.
-func (t *toy) serve() {
-	defer t.conn.Close()
-	t.mu.Lock()
-	t.say("state", "0", "")
-	t.mu.Unlock()
-	lines := bufio.NewScanner(t.conn)
-	lines.Buffer(nil, most)
+// serve announces the core's state and handles messages until the connection ends or sends a malformed one.
+func (s *session) serve() {
+	defer s.conn.Close()
+	s.mu.Lock()
+	s.send("state", "0", "")
+	s.mu.Unlock()
+	lines := bufio.NewScanner(s.conn)
+	lines.Buffer(nil, maxMessage)
 	for lines.Scan() {
 		v, err := fastjson.ParseBytes(lines.Bytes())
 		if err != nil {
-			log.Println("line can't be read:", err)
+			log.Println("malformed message:", err)
 			return
 		}
-		t.take(string(v.GetStringBytes("type")), string(v.GetStringBytes("id")))
+		s.handle(string(v.GetStringBytes("type")), string(v.GetStringBytes("id")))
 	}
 }
 
-// take handles a message.
-func (t *toy) take(kind, id string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// handle logs and handles a message.
+func (s *session) handle(kind, id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	log.Println(kind, id)
 	switch kind {
 	case "setup":
-		t.calls[id] = time.AfterFunc(hold, func() { t.end(id) })
-		t.say("answer", id, `,"sdp":"v=0\r\ns=toy\r\n"`)
+		s.calls[id] = time.AfterFunc(callDuration, func() { s.endCall(id) })
+		s.send("answer", id, `,"sdp":"v=0\r\ns=toy\r\n"`)
 	case "release":
-		if timer := t.calls[id]; timer != nil {
+		if timer := s.calls[id]; timer != nil {
 			timer.Stop()
-			delete(t.calls, id)
+			delete(s.calls, id)
 		}
-		t.say("released", id, "")
+		s.send("released", id, "")
 	}
 }
 
-// end ends a call that has lasted its time.
-func (t *toy) end(id string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.calls[id] != nil {
-		delete(t.calls, id)
-		t.say("release", id, `,"cause":16`)
+// endCall releases a call whose duration has passed.
+func (s *session) endCall(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.calls[id] != nil {
+		delete(s.calls, id)
+		s.send("release", id, `,"cause":16`)
 	}
 }
