--- a/internal/m3ua/client.go
+++ b/internal/m3ua/client.go
@@ -12,225 +12,235 @@
 	"brookmux/internal/settings"
 )
 
-const redialEvery = 500 * time.Millisecond
+// redialInterval is the wait before an association that ended or could not be opened is dialled again.
+const redialInterval = 500 * time.Millisecond
 
-// Client carries attempts to exchanges that are reached by M3UA. It implements core.Trunks for them.
+// Client sends attempts to the exchanges that are reached over M3UA. It implements core.Trunks for them and keeps one
+// association to each.
 type Client struct {
 	Config
-	events     core.Events
-	log        *slog.Logger
-	categories map[string]uint8
-	listed     func([]brookmux.Switch)
-	links      map[brookmux.SwitchID]*link
-	mu         sync.Mutex // guards the links' active
+	events      core.Events
+	log         *slog.Logger
+	categories  map[string]uint8
+	onReachable func([]brookmux.Switch)
+	links       map[brookmux.SwitchID]*link
+	mu          sync.Mutex // guards active, unreachable and cutTimer of the links
 }
 
-// link is an exchange with its circuits and the association to it.
+// link is the state of one configured exchange: its circuits and the association to it.
 type link struct {
 	Link
-	client *Client
-	group  *group
-	active bool
-	gone   *time.Timer
+	client   *Client
+	group    *circuitGroup
+	active   bool        // the association is active
+	cutTimer *time.Timer // runs cutCalls after gone_ms without an active association
 
-	unreachable bool // over the association, by the far end's word
+	unreachable bool // the far end has reported on the association that the exchange can't be reached
 }
 
-// NewClient returns a Client; listed is told which exchanges can be reached whenever that changes.
-func NewClient(c Config, log *slog.Logger, listed func([]brookmux.Switch)) *Client {
-	x := &Client{Config: c, log: log, listed: listed, categories: map[string]uint8{},
+// NewClient returns a Client for the links of config. onReachable is called with the exchanges that can be reached each
+// time that they change, possibly from several goroutines at once. Run opens the associations.
+func NewClient(config Config, log *slog.Logger, onReachable func([]brookmux.Switch)) *Client {
+	c := &Client{Config: config, log: log, onReachable: onReachable, categories: map[string]uint8{},
 		links: map[brookmux.SwitchID]*link{}}
-	for _, k := range c.Classes {
-		x.categories[k.Name] = k.Category
+	for _, class := range config.Classes {
+		c.categories[class.Name] = class.Category
 	}
-	for _, l := range c.Links {
-		x.links[brookmux.SwitchID(l.ID)] = &link{Link: l, client: x, group: newGroup(ms(c.Timers.T1))}
+	for _, l := range config.Links {
+		c.links[brookmux.SwitchID(l.ID)] = &link{Link: l, client: c,
+			group: newCircuitGroup(milliseconds(config.Timers.T1))}
 	}
-	return x
+	return c
 }
 
-// Serves tells whether an exchange is reached this way.
-func (x *Client) Serves(id brookmux.SwitchID) bool { return x.links[id] != nil }
+// Serves reports whether an exchange is reached over M3UA, by a link of the configuration.
+func (c *Client) Serves(id brookmux.SwitchID) bool { return c.links[id] != nil }
 
-// Run keeps the associations up until the context ends.
-func (x *Client) Run(ctx context.Context, events core.Events) {
-	x.events = events
+// Run opens the associations and reopens those that end, until the context ends. It passes the outcomes of attempts and
+// calls to events, and returns when all associations are closed.
+func (c *Client) Run(ctx context.Context, events core.Events) {
+	c.events = events
 	var wg sync.WaitGroup
-	for _, l := range x.links {
-		wg.Go(func() { l.run(ctx) })
+	for _, l := range c.links {
+		wg.Go(func() { l.keepConnected(ctx) })
 	}
 	wg.Wait()
 }
 
-// run keeps one association up.
-func (l *link) run(ctx context.Context) {
+// keepConnected opens the link's association, and opens it again each time it ends, until the context ends.
+func (l *link) keepConnected(ctx context.Context) {
 	timers := l.client.Timers
 	for ctx.Err() == nil {
-		dialer := net.Dialer{Timeout: ms(timers.Ack)}
+		dialer := net.Dialer{Timeout: milliseconds(timers.Ack)}
 		conn, err := dialer.DialContext(ctx, "tcp", l.Address)
 		if err == nil {
-			s := newSession(conn, l.client.RoutingContext, l.client.log)
-			s.changed = func(to State) { l.changed(s, to) }
-			s.data, s.managed = l.data, l.managed
-			s.answer(classASPSM, typeUp, word(paramASPID, l.ASP))
-			err = s.run(ctx, ms(timers.Beat), ms(timers.Ack))
+			a := newAssociation(conn, l.client.RoutingContext, l.client.log)
+			a.onState = func(to State) { l.stateChanged(a, to) }
+			a.onISUP, a.onSSNM = l.handleISUP, l.handleSSNM
+			a.sendParams(classASPSM, typeUp, uint32Param(paramASPID, l.ASP))
+			err = a.serve(ctx, milliseconds(timers.Beat), milliseconds(timers.Ack))
 		}
 		if ctx.Err() != nil {
 			return
 		}
 		l.client.log.Info("m3ua association down", "exchange", l.Number, "error", err)
 		select {
-		case <-time.After(redialEvery):
+		case <-time.After(redialInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// lost is the outcome of what was open on an association that is over.
-var lost = core.Outcome{Result: brookmux.ResultReset, Report: settings.NoReport(), Cause: core.TemporaryFailure}
+// lostOutcome is the outcome of attempts and calls that are lost with their association.
+var lostOutcome = core.Outcome{Result: brookmux.ResultReset, Report: settings.NoReport(), Cause: core.TemporaryFailure}
 
-// changed takes a change of the association's state. While it is not active the exchange is off the list, so
-// that nothing new is sent to it. Set-ups that were open are lost; calls that stand are kept for a while.
-func (l *link) changed(s *session, to State) {
-	x := l.client
-	defer x.log.Info("m3ua association", "exchange", l.Number, "state", to.String())
-	x.mu.Lock()
-	was := l.active
+// stateChanged applies a new state of the association. While the association is not active, the exchange is reported as
+// not reachable, so that no new attempt is sent to it. Unanswered set-ups are then lost; standing calls are kept for
+// gone_ms and continue if an association becomes active in that time.
+func (l *link) stateChanged(a *association, to State) {
+	client := l.client
+	defer client.log.Info("m3ua association", "exchange", l.Number, "state", to.String())
+	client.mu.Lock()
+	wasActive := l.active
 	l.active = to == Active
 	if !l.active {
-		l.unreachable = false // the next association says anew what can't be reached
+		l.unreachable = false // valid for one association: the far end reports it again on the next one
 	}
-	if l.active && l.gone != nil {
-		l.gone.Stop()
-	} else if was && !l.active {
-		l.gone = time.AfterFunc(ms(x.Timers.Gone), l.cut)
+	if l.active && l.cutTimer != nil {
+		l.cutTimer.Stop()
+	} else if wasActive && !l.active {
+		l.cutTimer = time.AfterFunc(milliseconds(client.Timers.Gone), l.cutCalls)
 	}
-	now := l.active
-	x.mu.Unlock()
+	isActive := l.active
+	client.mu.Unlock()
 	switch {
-	case now:
-		l.group.up(s.isup(x.PointCode, l.PointCode))
-		x.list()
-		l.report()
-	case was:
-		open := l.group.down()
-		x.list()
-		keys := make([]string, len(open))
-		for i, c := range open {
+	case isActive:
+		l.group.associationUp(a.isupSender(client.PointCode, l.PointCode))
+		client.publishReachable()
+		l.publishReport()
+	case wasActive:
+		unanswered := l.group.associationDown()
+		client.publishReachable()
+		keys := make([]string, len(unanswered))
+		for i, c := range unanswered {
 			keys[i] = c.key
-			// The far end may still hold the circuit: it is released before it is used again.
+			// The far end may still have the circuit in use, so it is released before it is seized again.
 			l.group.release(c, core.TemporaryFailure, 0)
 		}
 		if len(keys) > 0 {
-			x.events.Lost(brookmux.SwitchID(l.ID), keys, core.Loss{Outcome: lost})
+			client.events.Lost(brookmux.SwitchID(l.ID), keys, core.Loss{Outcome: lostOutcome})
 		}
 	}
 }
 
-// cut ends the calls that stand on an exchange whose association stays away.
-func (l *link) cut() {
+// cutCalls ends the standing calls of the link and releases all its circuits, unless an association is active again.
+func (l *link) cutCalls() {
 	l.client.mu.Lock()
-	back := l.active
+	active := l.active
 	l.client.mu.Unlock()
-	if !back {
-		l.client.events.Lost(brookmux.SwitchID(l.ID), nil, core.Loss{Cut: true, Outcome: lost})
+	if !active {
+		l.client.events.Lost(brookmux.SwitchID(l.ID), nil, core.Loss{Cut: true, Outcome: lostOutcome})
 		l.group.releaseAll(core.TemporaryFailure)
 	}
 }
 
-// list tells which exchanges can be reached.
-func (x *Client) list() {
-	x.mu.Lock()
-	var out []brookmux.Switch
-	for _, c := range x.Links {
-		if l := x.links[brookmux.SwitchID(c.ID)]; l.active && !l.unreachable {
-			out = append(out, brookmux.Switch{ID: brookmux.SwitchID(c.ID), Number: c.Number, Zone: c.Zone,
-				State: brookmux.Ready})
+// publishReachable passes the exchanges that can be reached to onReachable.
+func (c *Client) publishReachable() {
+	c.mu.Lock()
+	var reachable []brookmux.Switch
+	for _, config := range c.Links {
+		if l := c.links[brookmux.SwitchID(config.ID)]; l.active && !l.unreachable {
+			reachable = append(reachable, brookmux.Switch{ID: brookmux.SwitchID(config.ID), Number: config.Number,
+				Zone: config.Zone, State: brookmux.Ready})
 		}
 	}
-	x.mu.Unlock()
-	x.listed(out)
+	c.mu.Unlock()
+	c.onReachable(reachable)
 }
 
-// figures is the state of the group.
-func (l *link) figures() brookmux.Report {
+// currentReport returns the number of circuits of the link and how many of them are free.
+func (l *link) currentReport() brookmux.Report {
 	r := settings.NoReport()
 	r.Size = float64(l.Circuits)
-	r.Free = max(0, r.Size-float64(l.group.used()))
+	r.Free = max(0, r.Size-float64(l.group.numUsed()))
 	return r
 }
 
-// report tells the core the state of the group.
-func (l *link) report() { l.client.events.Reported(brookmux.SwitchID(l.ID), l.figures(), true) }
+// publishReport sends the current report to the core.
+func (l *link) publishReport() {
+	l.client.events.Reported(brookmux.SwitchID(l.ID), l.currentReport(), true)
+}
 
-// SetUp implements core.Trunks. Outcomes that are known at once are told from another goroutine, since the
-// owner of the core calls this.
-func (x *Client) SetUp(to brookmux.SwitchID, a core.Attempt) {
-	l := x.links[to]
-	category, ok := x.categories[a.Class]
-	x.mu.Lock()
+// SetUp implements core.Trunks. An attempt that fails before anything is sent is reported from another goroutine, since
+// SetUp is called on the core's goroutine and must not call back into the core.
+func (c *Client) SetUp(to brookmux.SwitchID, attempt core.Attempt) {
+	l := c.links[to]
+	category, ok := c.categories[attempt.Class]
+	c.mu.Lock()
 	active := l.active && !l.unreachable
-	x.mu.Unlock()
+	c.mu.Unlock()
 	o := core.Outcome{Result: brookmux.ResultMoot, Reason: brookmux.ReasonNoCircuit}
-	if !carries(a.Number) || !fits(a.Description) {
-		// It would be cut short or misread on the way: a set-up in a form that no caller sent.
+	if !validNumber(attempt.Number) || !descriptionFits(attempt.Description) {
+		// The message would not hold it: the far end would receive another number or description than the caller sent.
 		o = core.Outcome{Result: brookmux.ResultError}
 	} else if !ok || !active {
 		o = core.Outcome{Result: brookmux.ResultConnectFailed}
-	} else if c := l.group.seizeAny(l.Circuits, a.Key); c != nil {
-		l.group.say(isup{cic: c.cic, kind: kindIAM, category: category, number: a.Number, left: a.Left,
-			description: a.Description})
+	} else if circ := l.group.seizeAny(l.Circuits, attempt.Key); circ != nil {
+		l.group.sendMessage(isupMessage{cic: circ.cic, kind: kindIAM, category: category, number: attempt.Number,
+			timeout: attempt.Left, description: attempt.Description})
 		return
 	}
-	// The module has counted circuits as taken: the state of the group tells it that they are not.
-	o.Report = l.figures()
-	go x.events.Lost(to, []string{a.Key}, core.Loss{Outcome: o})
+	// The controller has already counted the attempt's circuits as in use; the report corrects that.
+	o.Report = l.currentReport()
+	go c.events.Lost(to, []string{attempt.Key}, core.Loss{Outcome: o})
 }
 
-// Release implements core.Trunks.
-func (x *Client) Release(to brookmux.SwitchID, key string, cause core.Cause) {
-	if l := x.links[to]; l != nil {
-		l.group.release(l.group.of(key), cause, 0)
+// Release implements core.Trunks. A key that has no circuit here, or whose circuit is already being released, is
+// ignored.
+func (c *Client) Release(to brookmux.SwitchID, key string, cause core.Cause) {
+	if l := c.links[to]; l != nil {
+		l.group.release(l.group.findCall(key), cause, 0)
 	}
 }
 
-// ReleaseAnywhere implements core.Trunks: circuits of an earlier process are not known by the calls' names,
-// so there is nothing to say.
-func (x *Client) ReleaseAnywhere(string, core.Cause) {}
+// ReleaseAnywhere implements core.Trunks. It does nothing: the circuits that an earlier process seized can't be found
+// by the keys of their calls.
+func (c *Client) ReleaseAnywhere(string, core.Cause) {}
 
-// data takes an ISUP message from the exchange.
-func (l *link) data(t transfer, m isup) error {
+// handleISUP handles an ISUP message from the exchange. An ANM or RLC that does not match the phase of its circuit is
+// ignored; a REL is always confirmed.
+func (l *link) handleISUP(d protocolData, m isupMessage) error {
 	id, events := brookmux.SwitchID(l.ID), l.client.events
-	c, at := l.group.at(m.cic)
+	c, callPhase := l.group.lookup(m.cic)
 	switch m.kind {
 	case kindANM:
-		if l.group.answer(c) {
-			events.Answered(id, c.key, m.description, l.figures())
+		if l.group.markAnswered(c) {
+			events.Answered(id, c.key, m.description, l.currentReport())
 		}
 	case kindREL:
-		l.group.clear(m.cic)
-		l.group.say(isup{cic: m.cic, kind: kindRLC})
-		if c != nil && at != releasing {
-			o := outcome(m)
-			o.Report = l.figures()
+		l.group.free(m.cic)
+		l.group.sendMessage(isupMessage{cic: m.cic, kind: kindRLC})
+		if c != nil && callPhase != releasing {
+			o := releaseOutcome(m)
+			o.Report = l.currentReport()
 			events.Ended(id, c.key, o)
 		} else {
-			l.report()
+			l.publishReport()
 		}
 	case kindRLC:
-		if at == releasing {
-			l.group.clear(m.cic)
-			l.report()
+		if callPhase == releasing {
+			l.group.free(m.cic)
+			l.publishReport()
 		}
 	case kindIAM:
-		// Circuits are seized by the end that opened the association: this one is not the far end's to use.
-		l.group.say(isup{cic: m.cic, kind: kindREL, cause: core.NotImplemented})
+		// Only the end that opened the association may seize circuits, so an IAM from the far end is rejected.
+		l.group.sendMessage(isupMessage{cic: m.cic, kind: kindREL, cause: core.NotImplemented})
 	}
 	return nil
 }
 
-// outcome translates a REL (see the README's table).
-func outcome(m isup) core.Outcome {
+// releaseOutcome translates the cause of a REL to an outcome (see the table in the README).
+func releaseOutcome(m isupMessage) core.Outcome {
 	o := core.Outcome{Cause: m.cause, Level: m.level, Result: brookmux.ResultError}
 	switch m.cause {
 	case core.NormalClearing:
--- a/internal/m3ua/codec.go
+++ b/internal/m3ua/codec.go
@@ -1,6 +1,6 @@
-// Package m3ua is the second front: M3UA-style signalling (RFC 4666 framing, on TCP in place of SCTP) that
-// carries ISUP. As a server it takes calls from peers; as a client it carries attempts to exchanges that are
-// reached this way. It decides nothing: both ends hand what they hear to the core.
+// Package m3ua is the second front: ISUP over M3UA, with the framing of RFC 4666 on TCP in place of SCTP. Its Server
+// accepts calls from peers, its Client sends attempts to the exchanges that are reached over M3UA. Both pass requests
+// and outcomes to the core, which makes all routing decisions.
 package m3ua
 
 import (
@@ -10,13 +10,13 @@
 	"io"
 )
 
-// Class and Type name a message (RFC 4666, 3.1).
+// Class and Type identify the kind of a message (RFC 4666, 3.1). A Type has a meaning only within its Class.
 type (
 	Class uint8
 	Type  uint8
 )
 
-// The classes and types that this package speaks.
+// The supported message classes and types.
 const (
 	classMgmt     Class = 0
 	classTransfer Class = 1
@@ -49,52 +49,52 @@
 	typeInactiveAck Type = 4
 )
 
-// The parameters that this package speaks (RFC 4666, 3.2).
+// The supported parameter tags (RFC 4666, 3.2).
 const (
-	paramInfo      = 0x0004
-	paramContext   = 0x0006
-	paramBeat      = 0x0009
-	paramErrorCode = 0x000c
-	paramStatus    = 0x000d
-	paramASPID     = 0x0011
-	paramAffected  = 0x0012 // affected point codes
-	paramLevel     = 0x0205 // congestion indications
-	paramData      = 0x0210
+	paramInfo              = 0x0004
+	paramRoutingContext    = 0x0006
+	paramHeartbeat         = 0x0009
+	paramErrorCode         = 0x000c
+	paramStatus            = 0x000d
+	paramASPID             = 0x0011
+	paramAffectedPointCode = 0x0012
+	paramCongestion        = 0x0205 // congestion indications
+	paramProtocolData      = 0x0210
 )
 
 // The error codes of an ERR message (RFC 4666, 3.8.1).
 const (
-	errVersion    = 0x01
-	errClass      = 0x03
-	errType       = 0x04
-	errUnexpected = 0x06
-	errProtocol   = 0x07
-	errField      = 0x11
-	errMissing    = 0x16
-	errNoAS       = 0x1a // no configured application server for this ASP
+	codeInvalidVersion    = 0x01
+	codeUnsupportedClass  = 0x03
+	codeUnsupportedType   = 0x04
+	codeUnexpectedMessage = 0x06
+	codeProtocolError     = 0x07
+	codeParameterField    = 0x11
+	codeMissingParameter  = 0x16
+	codeNoAS              = 0x1a // no configured application server (AS) for this ASP
 )
 
 const (
-	version    = 1
-	headerSize = 8
-	maxMessage = 16 << 10
-	siISUP     = 5 // service indicator
+	version        = 1
+	headerSize     = 8
+	maxMessageSize = 16 << 10 // bytes, with the header
+	siISUP         = 5        // service indicator of ISUP
 )
 
-// Message is one M3UA message.
+// Message is one M3UA message: the common header's class and type, and the parameters in their order on the wire.
 type Message struct {
 	Class  Class
 	Type   Type
 	Params []Param
 }
 
-// Param is a parameter without its padding.
+// Param is a parameter. Value excludes the padding.
 type Param struct {
 	Tag   uint16
 	Value []byte
 }
 
-// Get returns the first parameter with this tag.
+// Get returns the value of the first parameter with the given tag, and whether there is one.
 func (m Message) Get(tag uint16) ([]byte, bool) {
 	for _, p := range m.Params {
 		if p.Tag == tag {
@@ -104,30 +104,32 @@
 	return nil, false
 }
 
-// codeError is an error that the peer is told with an ERR message.
-type codeError struct {
-	code uint32
-	why  string
+// messageError is an error in a received message that is reported to the peer in an ERR message with the code.
+type messageError struct {
+	code   uint32
+	reason string
 }
 
 // Error implements error.
-func (e *codeError) Error() string { return fmt.Sprintf("m3ua: error code %#x: %s", e.code, e.why) }
+func (e *messageError) Error() string {
+	return fmt.Sprintf("m3ua: error code %#x: %s", e.code, e.reason)
+}
 
 var errTooLarge = errors.New("m3ua: message is larger than 16 KiB")
 
-// Read reads one message. The stated length is checked before anything is buffered for it. After a
-// *codeError the stream is still in step; after any other error it is not.
+// Read reads one message. It checks the length in the header before it allocates a buffer for the body. After a
+// *messageError the next message can be read from r; after any other error it can't, as the message boundary is lost.
 func Read(r io.Reader) (Message, error) {
-	var head [headerSize]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var header [headerSize]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return Message{}, err
 	}
-	size := binary.BigEndian.Uint32(head[4:])
-	if size > maxMessage {
+	size := binary.BigEndian.Uint32(header[4:])
+	if size > maxMessageSize {
 		return Message{}, errTooLarge
 	}
 	if size < headerSize || size%4 != 0 {
-		return Message{}, fmt.Errorf("m3ua: length %d", size)
+		return Message{}, fmt.Errorf("m3ua: invalid message length %d", size)
 	}
 	body := make([]byte, size-headerSize)
 	if _, err := io.ReadFull(r, body); err != nil {
@@ -136,26 +138,26 @@
 		}
 		return Message{}, err
 	}
-	m := Message{Class: Class(head[2]), Type: Type(head[3])}
-	if head[0] != version {
-		return m, &codeError{errVersion, fmt.Sprintf("version %d", head[0])}
+	m := Message{Class: Class(header[2]), Type: Type(header[3])}
+	if header[0] != version {
+		return m, &messageError{codeInvalidVersion, fmt.Sprintf("unsupported version %d", header[0])}
 	}
 	var err error
-	m.Params, err = params(body)
+	m.Params, err = parseParams(body)
 	return m, err
 }
 
-// params reads a message's parameters.
-func params(b []byte) ([]Param, error) {
+// parseParams parses the parameters of a message. The values share the memory of b.
+func parseParams(b []byte) ([]Param, error) {
 	var out []Param
 	for len(b) > 0 {
 		if len(b) < 4 {
-			return out, &codeError{errField, "parameter cut short"}
+			return out, &messageError{codeParameterField, "parameter header truncated"}
 		}
 		n := int(binary.BigEndian.Uint16(b[2:]))
 		padded := (n + 3) &^ 3
 		if n < 4 || padded > len(b) {
-			return out, &codeError{errField, "parameter length"}
+			return out, &messageError{codeParameterField, "invalid parameter length"}
 		}
 		out = append(out, Param{binary.BigEndian.Uint16(b), b[4:n]})
 		b = b[padded:]
@@ -163,52 +165,53 @@
 	return out, nil
 }
 
-// Append writes a message.
+// Append appends the encoded message to b, with each parameter padded to a multiple of four bytes.
 func (m Message) Append(b []byte) []byte {
-	at := len(b)
+	start := len(b)
 	b = append(b, version, 0, byte(m.Class), byte(m.Type), 0, 0, 0, 0)
 	for _, p := range m.Params {
 		b = binary.BigEndian.AppendUint16(b, p.Tag)
 		b = binary.BigEndian.AppendUint16(b, uint16(4+len(p.Value)))
 		b = append(b, p.Value...)
-		for (len(b)-at)%4 != 0 {
+		for (len(b)-start)%4 != 0 {
 			b = append(b, 0)
 		}
 	}
-	binary.BigEndian.PutUint32(b[at+4:], uint32(len(b)-at))
+	binary.BigEndian.PutUint32(b[start+4:], uint32(len(b)-start))
 	return b
 }
 
-// word is a parameter that holds one number.
-func word(tag uint16, v uint32) Param {
+// uint32Param returns a parameter whose value is one 32-bit number.
+func uint32Param(tag uint16, v uint32) Param {
 	return Param{tag, binary.BigEndian.AppendUint32(nil, v)}
 }
 
-// transfer is the content of a DATA message: an MTP3 user message with its label.
-type transfer struct {
+// protocolData is the protocol data parameter of a DATA message: an MTP3 user message with its routing label.
+type protocolData struct {
 	opc, dpc uint32
 	si, sls  uint8
-	user     []byte
+	payload  []byte
 }
 
-// message puts a transfer into a DATA message.
-func (t transfer) message(context uint32) Message {
-	b := binary.BigEndian.AppendUint32(nil, t.opc)
-	b = binary.BigEndian.AppendUint32(b, t.dpc)
-	b = append(b, t.si, 0, 0, t.sls)
-	b = append(b, t.user...)
-	return Message{classTransfer, typeData, []Param{word(paramContext, context), {paramData, b}}}
+// toMessage returns a DATA message with the protocol data.
+func (d protocolData) toMessage(routingContext uint32) Message {
+	b := binary.BigEndian.AppendUint32(nil, d.opc)
+	b = binary.BigEndian.AppendUint32(b, d.dpc)
+	b = append(b, d.si, 0, 0, d.sls)
+	b = append(b, d.payload...)
+	return Message{classTransfer, typeData,
+		[]Param{uint32Param(paramRoutingContext, routingContext), {paramProtocolData, b}}}
 }
 
-// readTransfer reads the content of a DATA message.
-func readTransfer(m Message) (transfer, error) {
-	b, ok := m.Get(paramData)
+// parseProtocolData parses the protocol data of a DATA message. The payload shares the memory of m.
+func parseProtocolData(m Message) (protocolData, error) {
+	b, ok := m.Get(paramProtocolData)
 	if !ok {
-		return transfer{}, &codeError{errMissing, "DATA without protocol data"}
+		return protocolData{}, &messageError{codeMissingParameter, "DATA without protocol data"}
 	}
 	if len(b) < 12 {
-		return transfer{}, &codeError{errField, "protocol data cut short"}
+		return protocolData{}, &messageError{codeParameterField, "protocol data truncated"}
 	}
-	return transfer{opc: binary.BigEndian.Uint32(b), dpc: binary.BigEndian.Uint32(b[4:]), si: b[8], sls: b[11],
-		user: b[12:]}, nil
+	return protocolData{opc: binary.BigEndian.Uint32(b), dpc: binary.BigEndian.Uint32(b[4:]), si: b[8], sls: b[11],
+		payload: b[12:]}, nil
 }
--- a/internal/m3ua/config.go
+++ b/internal/m3ua/config.go
@@ -10,10 +10,10 @@
 	"brookmux/internal/tomlfile"
 )
 
-// Config is what deploy/m3ua.toml says.
+// Config is the content of the configuration file, deploy/m3ua.toml.
 type Config struct {
 	Enabled        bool       `toml:"enabled"`
-	Listen         string     `toml:"listen"` // where peers connect; empty: no server
+	Listen         string     `toml:"listen"` // address that peers connect to; empty for no server
 	PointCode      uint32     `toml:"point_code"`
 	RoutingContext uint32     `toml:"routing_context"`
 	Timers         Timers     `toml:"timers"`
@@ -23,48 +23,49 @@
 	Links          []Link     `toml:"link"`
 }
 
-// maxSilence is the most milliseconds from an exchange's last word to the end of the calls on it: their callers are owed
-// a release within 8 s.
-const maxSilence = 7500
+// maxCallEndDelay is the maximum time in milliseconds from the last message of an exchange to the end of the calls on
+// it. Their callers must receive a release within 8 s.
+const maxCallEndDelay = 7500
 
-// Timers are in milliseconds.
+// Timers are the protocol timers, in milliseconds. A value of 0 selects the default.
 type Timers struct {
-	Beat int `toml:"beat_ms"` // between heartbeats; one that is not acknowledged by the next ends the association
-	Ack  int `toml:"ack_ms"`  // in which an association has to become active
-	T1   int `toml:"t1_ms"`   // after which a REL without RLC is sent again
-	Gone int `toml:"gone_ms"` // after which calls on an exchange whose association stays away are over
+	Beat int `toml:"beat_ms"` // heartbeat interval; one not acknowledged before the next is due ends the association
+	Ack  int `toml:"ack_ms"`  // timeout for an association to become active, and for the client's dial
+	T1   int `toml:"t1_ms"`   // interval at which a REL is sent again until its RLC arrives
+	Gone int `toml:"gone_ms"` // time without an active association after which the calls on an exchange end
 }
 
-// Category ties a calling party's category to a class of the settings.
+// Category maps a calling party's category (Q.763) to the name of a class in the settings.
 type Category struct {
 	Category uint8  `toml:"category"`
 	Name     string `toml:"name"`
 }
 
-// Exchange ties an exchange's number to its point code.
+// Exchange maps an exchange's point code to its number.
 type Exchange struct {
 	Number    int    `toml:"number"`
 	PointCode uint32 `toml:"point_code"`
 }
 
-// Peer is one that connects to the server.
+// Peer is a signalling peer that may connect to the server.
 type Peer struct {
 	ASP       uint32 `toml:"asp"` // its ASP identifier
 	PointCode uint32 `toml:"point_code"`
 }
 
-// Link is an exchange that the client connects to.
+// Link is an exchange that the client connects to and sends attempts to.
 type Link struct {
-	ID        uint32 `toml:"id"` // its switch, distinct from all that the name service lists
+	ID        uint32 `toml:"id"` // SwitchID of the exchange, distinct from all those in the membership list
 	Number    int    `toml:"number"`
 	Zone      int    `toml:"zone"`
 	Address   string `toml:"address"`
 	PointCode uint32 `toml:"point_code"`
-	ASP       uint32 `toml:"asp"` // the ASP identifier that it knows us by
-	Circuits  int    `toml:"circuits"`
+	ASP       uint32 `toml:"asp"`      // ASP identifier under which this controller registers there
+	Circuits  int    `toml:"circuits"` // number of circuits, with the CICs from 1
 }
 
-// Load reads a configuration; where there is none, the front is off.
+// Load reads and validates the configuration file at path. If there is no such file, it returns a Config that is not
+// enabled.
 func Load(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -77,35 +78,36 @@
 	if err := tomlfile.Decode(text, &c); err != nil {
 		return c, fmt.Errorf("m3ua: configuration %s: %w", path, err)
 	}
-	return c, c.check()
+	return c, c.validate()
 }
 
-// check names the first entry that can't be served, and puts defaults in.
-func (c *Config) check() error {
+// validate sets the defaults of the timers and returns an error for the first invalid entry. A Config that is not
+// enabled is valid.
+func (c *Config) validate() error {
 	if !c.Enabled {
 		return nil
 	}
 	for _, t := range []struct {
-		value *int
-		name  string
-		usual int
+		value  *int
+		name   string
+		preset int
 	}{{&c.Timers.Beat, "beat_ms", 2000}, {&c.Timers.Ack, "ack_ms", 2000}, {&c.Timers.T1, "t1_ms", 15000},
 		{&c.Timers.Gone, "gone_ms", 3000}} {
 		if *t.value < 0 {
-			return fmt.Errorf("m3ua: configuration: %s is %d", t.name, *t.value)
+			return fmt.Errorf("m3ua: configuration: %s is negative: %d", t.name, *t.value)
 		} else if *t.value == 0 {
-			*t.value = t.usual
+			*t.value = t.preset
 		}
 	}
-	if worst := 2*c.Timers.Beat + c.Timers.Gone; worst > maxSilence {
-		return fmt.Errorf("m3ua: configuration: twice beat_ms and gone_ms make %d ms, at most %d: calls on an exchange that vanished are over then",
-			worst, maxSilence)
+	if delay := 2*c.Timers.Beat + c.Timers.Gone; delay > maxCallEndDelay {
+		return fmt.Errorf("m3ua: configuration: 2*beat_ms + gone_ms is %d ms, maximum %d: it is the time until calls on an unresponsive exchange end",
+			delay, maxCallEndDelay)
 	}
 	if c.PointCode == 0 {
 		return errors.New("m3ua: configuration: point_code is missing")
 	}
 	if c.Listen != "" && (len(c.Peers) == 0 || len(c.Exchanges) == 0 || len(c.Classes) == 0) {
-		return errors.New("m3ua: configuration: a server needs peer, exchange and class")
+		return errors.New("m3ua: configuration: listen requires at least one peer, exchange and class")
 	}
 	for i, p := range c.Peers {
 		if p.PointCode == 0 {
@@ -114,11 +116,11 @@
 	}
 	for i, l := range c.Links {
 		if l.Address == "" || l.PointCode == 0 || l.Circuits < 1 || l.Circuits > 1<<14-1 {
-			return fmt.Errorf("m3ua: configuration: link %d needs address, point_code and 1 to 16383 circuits", i)
+			return fmt.Errorf("m3ua: configuration: link %d requires address, point_code and 1 to 16383 circuits", i)
 		}
 	}
 	return nil
 }
 
-// ms is a time of the configuration.
-func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
+// milliseconds converts a time in the configuration to a duration.
+func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/internal/m3ua/group.go
+++ b/internal/m3ua/group.go
@@ -7,45 +7,46 @@
 	"brookmux/internal/core"
 )
 
-// mostTries is how often a REL is sent: with the usual T1, for the five minutes that Q.764 gives it.
-const mostTries = 20
+// maxRELSends is the maximum number of times that a REL is sent. With the default T1 of 15 s, that is the five minutes
+// that Q.764 allows.
+const maxRELSends = 20
 
-// phase is where a circuit's call is.
+// phase is the phase of the call on a circuit.
 type phase int
 
 const (
-	seized    phase = iota // set up, not yet answered
+	seized    phase = iota // set-up sent or received, not yet answered
 	answered               // the call stands
-	releasing              // REL is sent or waits for the association, RLC is awaited
+	releasing              // REL is sent or waits for an association; RLC has not arrived
 )
 
-// circuit is a circuit in use.
+// circuit is a circuit in use by a call. The group's lock guards phase, rel, resendTimer and sendCount.
 type circuit struct {
-	cic   uint16
-	key   string
-	phase phase
-	rel   isup        // while releasing
-	again *time.Timer // sends rel again
-	tries int         // how often it was sent
-	owner any
-}
-
-// group is the circuits between two point codes. They outlive the association: a call that stands goes on
-// without signalling, and what has to be said of it waits for the next association.
-type group struct {
+	cic         uint16
+	key         string
+	phase       phase
+	rel         isupMessage // the REL to send while releasing
+	resendTimer *time.Timer // sends rel again after T1
+	sendCount   int         // number of times that rel was sent
+	owner       any
+}
+
+// circuitGroup holds the circuits in use between two point codes. It outlives the association: a standing call
+// continues without signalling, and its release waits for the next association.
+type circuitGroup struct {
 	mu       sync.Mutex
 	circuits map[uint16]*circuit
 	byKey    map[string]*circuit
-	send     func(isup) bool // nil while there is no active association
-	t1       time.Duration   // a release that is not confirmed is sent again (Q.764)
+	send     func(isupMessage) bool // sends a message on the active association; nil if there is none
+	t1       time.Duration          // interval at which an unconfirmed REL is sent again (Q.764)
 }
 
-func newGroup(t1 time.Duration) *group {
-	return &group{circuits: map[uint16]*circuit{}, byKey: map[string]*circuit{}, t1: t1}
+func newCircuitGroup(t1 time.Duration) *circuitGroup {
+	return &circuitGroup{circuits: map[uint16]*circuit{}, byKey: map[string]*circuit{}, t1: t1}
 }
 
-// seize takes a circuit, or nil if it is in use.
-func (g *group) seize(cic uint16, key string, owner any) *circuit {
+// seize marks a circuit as in use by the call with the given key and returns it, or nil if it is already in use.
+func (g *circuitGroup) seize(cic uint16, key string, owner any) *circuit {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.circuits[cic] != nil {
@@ -56,9 +57,9 @@
 	return c
 }
 
-// seizeAny takes the first free circuit of so many, or nil.
-func (g *group) seizeAny(most int, key string) *circuit {
-	for cic := 1; cic <= most; cic++ {
+// seizeAny seizes the free circuit with the lowest CIC from 1 to lastCIC, or returns nil if all are in use.
+func (g *circuitGroup) seizeAny(lastCIC int, key string) *circuit {
+	for cic := 1; cic <= lastCIC; cic++ {
 		if c := g.seize(uint16(cic), key, nil); c != nil {
 			return c
 		}
@@ -66,27 +67,27 @@
 	return nil
 }
 
-// say sends a message for a circuit, and tells whether there was an association.
-func (g *group) say(m isup) bool {
+// sendMessage sends a message for a circuit and reports whether there was an association to send it on.
+func (g *circuitGroup) sendMessage(m isupMessage) bool {
 	g.mu.Lock()
 	send := g.send
 	g.mu.Unlock()
 	return send != nil && send(m)
 }
 
-// answer marks a seized circuit as answered, and tells whether it was seized.
-func (g *group) answer(c *circuit) bool {
+// markAnswered marks a circuit as answered and reports whether it was seized and unanswered. A nil circuit is allowed.
+func (g *circuitGroup) markAnswered(c *circuit) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if c == nil || c.phase != seized || g.circuits[c.cic] != c { // released meanwhile: the answer crossed it
+	if c == nil || c.phase != seized || g.circuits[c.cic] != c { // the answer crossed a release of the call
 		return false
 	}
 	c.phase = answered
 	return true
 }
 
-// at returns the circuit of a number, with its phase.
-func (g *group) at(cic uint16) (*circuit, phase) {
+// lookup returns the circuit with a CIC and its phase, or nil if the circuit is not in use.
+func (g *circuitGroup) lookup(cic uint16) (*circuit, phase) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	c := g.circuits[cic]
@@ -96,20 +97,21 @@
 	return c, c.phase
 }
 
-// of returns the circuit of a call that is not being released, or nil.
-func (g *group) of(key string) *circuit {
+// findCall returns the circuit of the call with a key, or nil if there is none or it is being released.
+func (g *circuitGroup) findCall(key string) *circuit {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.byKey[key]
 }
 
-// release starts to release a circuit: REL goes out now or with the next association, and again until RLC.
-func (g *group) release(c *circuit, cause core.Cause, wait time.Duration) {
-	g.refuse(c, isup{cause: cause, wait: wait})
+// release starts the release of a circuit. The REL is sent now or on the next association, and repeated until the RLC
+// arrives. A circuit that is nil, free or already being released is left as it is.
+func (g *circuitGroup) release(c *circuit, cause core.Cause, wait time.Duration) {
+	g.releaseWith(c, isupMessage{cause: cause, retryAfter: wait})
 }
 
-// refuse starts to release a circuit with all that a REL may say.
-func (g *group) refuse(c *circuit, rel isup) {
+// releaseWith is release with the REL to send, which may also hold a congestion level. It sets the CIC and the kind.
+func (g *circuitGroup) releaseWith(c *circuit, rel isupMessage) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if c == nil || c.phase == releasing || g.circuits[c.cic] != c {
@@ -118,41 +120,42 @@
 	rel.cic, rel.kind = c.cic, kindREL
 	c.phase, c.rel = releasing, rel
 	delete(g.byKey, c.key)
-	g.push(c)
+	g.sendREL(c)
 }
 
-// push sends a circuit's REL, and again after T1 while it is not confirmed. The lock is held.
-func (g *group) push(c *circuit) {
-	if c.again != nil {
-		c.again.Stop()
+// sendREL sends the REL of a circuit if there is an association, and again after T1 until it is confirmed. After
+// maxRELSends the circuit is freed. The caller holds the lock.
+func (g *circuitGroup) sendREL(c *circuit) {
+	if c.resendTimer != nil {
+		c.resendTimer.Stop()
 	}
 	if g.send == nil {
 		return
 	}
-	if c.tries++; c.tries > mostTries { // a peer that confirms nothing must not keep circuits for ever
+	if c.sendCount++; c.sendCount > maxRELSends { // a peer that never confirms must not occupy circuits forever
 		delete(g.circuits, c.cic)
 		return
 	}
 	g.send(c.rel)
-	c.again = time.AfterFunc(g.t1, func() {
+	c.resendTimer = time.AfterFunc(g.t1, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		if g.circuits[c.cic] == c {
-			g.push(c)
+			g.sendREL(c)
 		}
 	})
 }
 
-// clear frees a circuit.
-func (g *group) clear(cic uint16) {
+// free removes a circuit from the group and stops its timer. The circuit can then be seized again.
+func (g *circuitGroup) free(cic uint16) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	c := g.circuits[cic]
 	if c == nil {
 		return
 	}
-	if c.again != nil {
-		c.again.Stop()
+	if c.resendTimer != nil {
+		c.resendTimer.Stop()
 	}
 	delete(g.circuits, cic)
 	if g.byKey[c.key] == c {
@@ -160,51 +163,52 @@
 	}
 }
 
-// up takes an active association; releases that are not confirmed go out on it.
-func (g *group) up(send func(isup) bool) {
+// associationUp sets the active association and sends the unconfirmed RELs on it.
+func (g *circuitGroup) associationUp(send func(isupMessage) bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.send = send
 	for _, c := range g.circuits {
 		if c.phase == releasing {
-			g.push(c)
+			g.sendREL(c)
 		}
 	}
 }
 
-// down takes the association's end, and returns the circuits that were seized and not answered.
-func (g *group) down() []*circuit {
+// associationDown removes the association and stops the timers. It returns the circuits that are seized and unanswered;
+// they stay in the group until the caller releases or frees them.
+func (g *circuitGroup) associationDown() []*circuit {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.send = nil
-	var open []*circuit
+	var unanswered []*circuit
 	for _, c := range g.circuits {
-		if c.again != nil {
-			c.again.Stop()
+		if c.resendTimer != nil {
+			c.resendTimer.Stop()
 		}
 		if c.phase == seized {
-			open = append(open, c)
+			unanswered = append(unanswered, c)
 		}
 	}
-	return open
+	return unanswered
 }
 
-// used is how many circuits are in use.
-func (g *group) used() int {
+// numUsed returns the number of circuits in use, with those that are being released.
+func (g *circuitGroup) numUsed() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.circuits)
 }
 
-// releaseAll starts to release every circuit.
-func (g *group) releaseAll(cause core.Cause) {
+// releaseAll starts the release of all circuits in use.
+func (g *circuitGroup) releaseAll(cause core.Cause) {
 	g.mu.Lock()
-	list := make([]*circuit, 0, len(g.circuits))
+	inUse := make([]*circuit, 0, len(g.circuits))
 	for _, c := range g.circuits {
-		list = append(list, c)
+		inUse = append(inUse, c)
 	}
 	g.mu.Unlock()
-	for _, c := range list {
+	for _, c := range inUse {
 		g.release(c, cause, 0)
 	}
 }
--- a/internal/m3ua/isup.go
+++ b/internal/m3ua/isup.go
@@ -21,41 +21,42 @@
 	kindRLC kind = 0x10
 )
 
-// Optional parameters (Q.763, table 5).
+// Optional parameters (Q.763, table 5), field values and limits.
 const (
-	optEnd         = 0x00
-	optUserToUser  = 0x20 // holds the description, in as many as it takes
-	optLevel       = 0x27 // automatic congestion level
-	optDelay       = 0x31 // propagation delay counter: here, how long the caller waits, in milliseconds
-	uuiPlain       = 0x00 // protocol discriminator: user-specific
-	uuiMost        = 130  // bytes of description in one parameter
-	natureUnknown  = 0x02 // nature of address: unknown
-	planISDN       = 0x10 // numbering plan ISDN, routing to internal number allowed
-	mediumSpeech   = 0x00
-	mostDigits     = 2 * 250
-	mostLevel      = 2    // of the automatic congestion level
-	beside         = 512  // bytes of an IAM that are not description, at most
-	causeLocation  = 0x80 // coding ITU-T, location user
-	causeExtension = 0x80
+	optEnd              = 0x00
+	optUserToUser       = 0x20    // holds the description, split over as many parameters as necessary
+	optCongestionLevel  = 0x27    // automatic congestion level
+	optPropagationDelay = 0x31    // propagation delay counter; used here for the caller's timeout in milliseconds
+	uuiUserSpecific     = 0x00    // protocol discriminator: user-specific
+	maxUUIDescription   = 130     // bytes of the description in one user-to-user parameter
+	natureUnknown       = 0x02    // nature of address: unknown
+	planISDN            = 0x10    // numbering plan ISDN, routing to internal number allowed
+	mediumSpeech        = 0x00    // transmission medium requirement: speech
+	maxDigits           = 2 * 250 // digits of a called party number, two per byte
+	maxLevel            = 2       // highest automatic congestion level
+	iamOverhead         = 512     // maximum bytes of an M3UA message with an IAM, without the description
+	causeLocation       = 0x80    // coding ITU-T, location user
+	causeExtension      = 0x80    // extension bit: last byte of the field
 )
 
-// isup is one ISUP message, with the parameters that a path from request to answer needs.
-type isup struct {
+// isupMessage is one ISUP message with the parameters that this package uses. The comments name the messages that have
+// the field.
+type isupMessage struct {
 	cic         uint16
 	kind        kind
 	category    uint8         // IAM: calling party's category
 	number      string        // IAM: address signals of the called party, hex digits
-	left        time.Duration // IAM: how long the caller waits, 0 if not said
+	timeout     time.Duration // IAM: caller's timeout, 0 if not given
 	cause       core.Cause    // REL
-	wait        time.Duration // REL: how long to stay away, in the cause's diagnostic
+	retryAfter  time.Duration // REL: retry advice, sent in the cause's diagnostic, 0 if none
 	level       int           // REL: automatic congestion level, 0 for none, 1 or 2
 	description []byte        // IAM, ANM
 }
 
-var errISUP = errors.New("m3ua: ISUP message can't be read")
+var errInvalidISUP = errors.New("m3ua: invalid ISUP message")
 
-// append writes the message.
-func (m isup) append(b []byte) []byte {
+// append appends the encoded message to b.
+func (m isupMessage) append(b []byte) []byte {
 	b = binary.LittleEndian.AppendUint16(b, m.cic)
 	b = append(b, byte(m.kind))
 	switch m.kind {
@@ -63,10 +64,10 @@
 		b = append(b, 0, 0, 0, m.category, mediumSpeech)
 		odd := byte(len(m.number)&1) << 7
 		b = append(b, 2, byte((len(m.number)+1)/2+4), byte((len(m.number)+1)/2+2), odd|natureUnknown, planISDN)
-		b = appendSignals(b, m.number)
-		if m.left > 0 {
-			b = append(b, optDelay, 4)
-			b = binary.BigEndian.AppendUint32(b, uint32(min(m.left.Milliseconds(), 1<<31)))
+		b = appendDigits(b, m.number)
+		if m.timeout > 0 {
+			b = append(b, optPropagationDelay, 4)
+			b = binary.BigEndian.AppendUint32(b, uint32(min(m.timeout.Milliseconds(), 1<<31)))
 		}
 		b = appendDescription(b, m.description)
 	case kindACM:
@@ -77,8 +78,8 @@
 	case kindREL:
 		b = append(b, 2, 0)
 		diagnostic := []byte{}
-		if m.wait > 0 {
-			diagnostic = binary.BigEndian.AppendUint32(nil, uint32(min(m.wait.Milliseconds(), 1<<31)))
+		if m.retryAfter > 0 {
+			diagnostic = binary.BigEndian.AppendUint32(nil, uint32(min(m.retryAfter.Milliseconds(), 1<<31)))
 		}
 		if m.level > 0 {
 			b[len(b)-1] = byte(4 + len(diagnostic)) // where the optional part starts
@@ -86,7 +87,7 @@
 		b = append(b, byte(2+len(diagnostic)), causeLocation, causeExtension|byte(m.cause))
 		b = append(b, diagnostic...)
 		if m.level > 0 {
-			b = append(b, optLevel, 1, byte(min(m.level, mostLevel)), optEnd)
+			b = append(b, optCongestionLevel, 1, byte(min(m.level, maxLevel)), optEnd)
 		}
 	case kindRLC:
 		b = append(b, 0)
@@ -94,57 +95,59 @@
 	return b
 }
 
-// appendSignals writes address signals, two a byte, the first in the low half.
-func appendSignals(b []byte, number string) []byte {
+// appendDigits appends the address signals of a number to b, two per byte, the first in the low four bits.
+func appendDigits(b []byte, number string) []byte {
 	for i := 0; i < len(number); i += 2 {
-		v := signal(number[i])
+		v := hexValue(number[i])
 		if i+1 < len(number) {
-			v |= signal(number[i+1]) << 4
+			v |= hexValue(number[i+1]) << 4
 		}
 		b = append(b, v)
 	}
 	return b
 }
 
-// carries tells whether a number can stand in an IAM: hex digits, and no more than its length octet counts.
-func carries(number string) bool {
+// validNumber reports whether an IAM can hold a number: it must consist of hex digits, not more than the length octet
+// of the parameter allows.
+func validNumber(number string) bool {
 	for i := range len(number) {
 		if _, err := strconv.ParseUint(number[i:i+1], 16, 4); err != nil {
 			return false
 		}
 	}
-	return len(number) <= mostDigits
+	return len(number) <= maxDigits
 }
 
-// fits tells whether a description can stand in one M3UA message, beside what else that holds.
-func fits(description []byte) bool {
-	return len(description)+3*(len(description)/uuiMost+1)+beside <= maxMessage
+// descriptionFits reports whether one M3UA message can hold a description along with its other parameters.
+func descriptionFits(description []byte) bool {
+	return len(description)+3*(len(description)/maxUUIDescription+1)+iamOverhead <= maxMessageSize
 }
 
-// signal is a hex digit's value.
-func signal(digit byte) byte {
-	v, _ := strconv.ParseUint(string(digit), 16, 4) // not a digit: 0
+// hexValue returns the value of a hex digit.
+func hexValue(digit byte) byte {
+	v, _ := strconv.ParseUint(string(digit), 16, 4) // 0 if it is not a digit
 	return byte(v)
 }
 
-// appendDescription writes a description into as many user-to-user parameters as it takes, and the end of
-// the optional part.
+// appendDescription appends a description to b, in as many user-to-user parameters as necessary, and the end of the
+// optional part.
 func appendDescription(b, description []byte) []byte {
 	for len(description) > 0 {
-		n := min(len(description), uuiMost)
-		b = append(b, optUserToUser, byte(n+1), uuiPlain)
+		n := min(len(description), maxUUIDescription)
+		b = append(b, optUserToUser, byte(n+1), uuiUserSpecific)
 		b = append(b, description[:n]...)
 		description = description[n:]
 	}
 	return append(b, optEnd)
 }
 
-// parseISUP reads a message. The result shares nothing with b.
-func parseISUP(b []byte) (isup, error) {
+// parseISUP parses a message. The result does not share the memory of b. If only the type or the parameters are
+// invalid, the CIC and kind are set along with the error.
+func parseISUP(b []byte) (isupMessage, error) {
 	if len(b) < 3 {
-		return isup{}, errISUP
+		return isupMessage{}, errInvalidISUP
 	}
-	m := isup{cic: binary.LittleEndian.Uint16(b), kind: kind(b[2])}
+	m := isupMessage{cic: binary.LittleEndian.Uint16(b), kind: kind(b[2])}
 	b = b[3:]
 	fixed, variable := 0, 0
 	switch m.kind {
@@ -156,45 +159,45 @@
 		variable = 1
 	case kindANM, kindRLC:
 	default:
-		return m, fmt.Errorf("%w: type %#x", errISUP, byte(m.kind))
+		return m, fmt.Errorf("%w: unsupported type %#x", errInvalidISUP, byte(m.kind))
 	}
 	if len(b) < fixed+variable {
-		return m, errISUP
+		return m, errInvalidISUP
 	}
 	if m.kind == kindIAM {
 		m.category = b[3]
 	}
 	b = b[fixed:]
 	if variable == 1 {
-		v, err := pointed(b, 0)
+		v, err := pointedParam(b, 0)
 		if err != nil {
 			return m, err
 		}
 		if m.kind == kindIAM {
-			err = m.calledNumber(v)
+			err = m.parseCalledNumber(v)
 		} else {
-			err = m.causeIndicators(v)
+			err = m.parseCause(v)
 		}
 		if err != nil {
 			return m, err
 		}
 	}
-	return m, m.optional(b, variable)
+	return m, m.parseOptional(b, variable)
 }
 
-// pointed returns the parameter that the pointer at this place points at.
-func pointed(b []byte, at int) ([]byte, error) {
-	start := at + int(b[at])
-	if b[at] == 0 || start >= len(b) || start+1+int(b[start]) > len(b) {
-		return nil, fmt.Errorf("%w: pointer", errISUP)
+// pointedParam returns the value of the variable parameter that the pointer at b[pos] refers to.
+func pointedParam(b []byte, pos int) ([]byte, error) {
+	start := pos + int(b[pos])
+	if b[pos] == 0 || start >= len(b) || start+1+int(b[start]) > len(b) {
+		return nil, fmt.Errorf("%w: pointer", errInvalidISUP)
 	}
 	return b[start+1 : start+1+int(b[start])], nil
 }
 
-// calledNumber reads the called party number.
-func (m *isup) calledNumber(v []byte) error {
+// parseCalledNumber sets the number from the value of a called party number parameter.
+func (m *isupMessage) parseCalledNumber(v []byte) error {
 	if len(v) < 2 {
-		return fmt.Errorf("%w: called party number", errISUP)
+		return fmt.Errorf("%w: called party number", errInvalidISUP)
 	}
 	const digits = "0123456789abcdef"
 	out := make([]byte, 0, 2*len(v))
@@ -208,42 +211,42 @@
 	return nil
 }
 
-// causeIndicators reads a cause with its diagnostic.
-func (m *isup) causeIndicators(v []byte) error {
+// parseCause sets the cause and the retry advice in its diagnostic from the value of a cause indicators parameter.
+func (m *isupMessage) parseCause(v []byte) error {
 	if len(v) < 2 || v[0]&0x80 == 0 {
-		return fmt.Errorf("%w: cause indicators", errISUP)
+		return fmt.Errorf("%w: cause indicators", errInvalidISUP)
 	}
 	m.cause = core.Cause(v[1] & 0x7f)
 	if len(v) >= 6 {
-		m.wait = time.Duration(binary.BigEndian.Uint32(v[2:])) * time.Millisecond
+		m.retryAfter = time.Duration(binary.BigEndian.Uint32(v[2:])) * time.Millisecond
 	}
 	return nil
 }
 
-// optional reads the optional part, if the pointer at this place says there is one. Parameters that are not
-// known are skipped.
-func (m *isup) optional(b []byte, at int) error {
-	if at >= len(b) || b[at] == 0 {
+// parseOptional parses the optional part that the pointer at b[pos] refers to, if there is one. Unknown parameters are
+// skipped.
+func (m *isupMessage) parseOptional(b []byte, pos int) error {
+	if pos >= len(b) || b[pos] == 0 {
 		return nil
 	}
-	start := at + int(b[at])
+	start := pos + int(b[pos])
 	if start > len(b) {
-		return fmt.Errorf("%w: pointer", errISUP)
+		return fmt.Errorf("%w: pointer", errInvalidISUP)
 	}
 	for b = b[start:]; len(b) > 0 && b[0] != optEnd; {
 		if len(b) < 2 || 2+int(b[1]) > len(b) {
-			return fmt.Errorf("%w: optional part", errISUP)
+			return fmt.Errorf("%w: optional part", errInvalidISUP)
 		}
 		v := b[2 : 2+int(b[1])]
 		switch {
 		case b[0] == optUserToUser && len(v) > 0:
 			m.description = append(m.description, v[1:]...)
-		case b[0] == optLevel && len(v) == 1: // other values are spare (Q.763, 3.4): no level
-			if m.level = int(v[0]); m.level > mostLevel {
+		case b[0] == optCongestionLevel && len(v) == 1: // other values are spare (Q.763, 3.4) and read as no level
+			if m.level = int(v[0]); m.level > maxLevel {
 				m.level = 0
 			}
-		case b[0] == optDelay && len(v) == 4:
-			m.left = time.Duration(binary.BigEndian.Uint32(v)) * time.Millisecond
+		case b[0] == optPropagationDelay && len(v) == 4:
+			m.timeout = time.Duration(binary.BigEndian.Uint32(v)) * time.Millisecond
 		}
 		b = b[2+len(v):]
 	}
--- a/internal/m3ua/isup_test.go
+++ b/internal/m3ua/isup_test.go
@@ -6,16 +6,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFits: a description that is said to fit does, with everything beside it, and the largest that a caller
-// of the other front can send is told apart.
+// TestFits guards against descriptions that pass the size check but make an IAM with the longest number too large for
+// an M3UA message. The check must also accept 15000 bytes, and reject a description as large as a message, which is the
+// limit of the SIP front.
 func TestFits(t *testing.T) {
-	for n := 0; n <= maxMessage; n += 13 {
-		d := make([]byte, n)
-		u := isup{kind: kindIAM, number: string(make([]byte, mostDigits)), left: 1, description: d}.append(nil)
-		if size := len(transfer{user: u}.message(1).Append(nil)); fits(d) {
-			require.LessOrEqual(t, size, maxMessage, "%d bytes", n)
+	for n := 0; n <= maxMessageSize; n += 13 {
+		description := make([]byte, n)
+		encoded := isupMessage{kind: kindIAM, number: string(make([]byte, maxDigits)), timeout: 1,
+			description: description}.append(nil)
+		if size := len(protocolData{payload: encoded}.toMessage(1).Append(nil)); descriptionFits(description) {
+			require.LessOrEqual(t, size, maxMessageSize, "%d bytes", n)
 		}
 	}
-	require.True(t, fits(make([]byte, 15000)))
-	require.False(t, fits(make([]byte, maxMessage)))
+	require.True(t, descriptionFits(make([]byte, 15000)))
+	require.False(t, descriptionFits(make([]byte, maxMessageSize)))
 }
--- a/internal/m3ua/network.go
+++ b/internal/m3ua/network.go
@@ -8,98 +8,100 @@
 	"brookmux/internal/core"
 )
 
-// Signalling network management (RFC 4666, 3.4): the server tells its peers which exchanges can't be reached and
-// which are congested, and answers their audits; the client obeys what it is told of the exchange it reaches.
+// Signalling network management (RFC 4666, 3.4): the server notifies its peers of exchanges that are unreachable or
+// congested, and answers their audits; the client acts on such notifications from the exchanges it connects to.
 
-// mostAffected bounds the point codes that one message may name.
-const mostAffected = 256
+// maxAffected is the maximum number of affected point codes in one message.
+const maxAffected = 256
 
-// affected is a parameter that names one point code.
-func affected(pc uint32) Param { return word(paramAffected, pc&0xffffff) }
+// affectedParam returns an affected point code parameter with one point code.
+func affectedParam(pc uint32) Param { return uint32Param(paramAffectedPointCode, pc&0xffffff) }
 
-// readAffected reads the affected point codes of a message. One with a mask stands for as many as it covers: it
-// is returned with its mask.
-func readAffected(m Message) ([]pointRange, error) {
-	b, ok := m.Get(paramAffected)
+// parseAffected parses the affected point codes of a message. An entry with a mask is returned as one range, not
+// expanded.
+func parseAffected(m Message) ([]pointCodeRange, error) {
+	b, ok := m.Get(paramAffectedPointCode)
 	if !ok {
-		return nil, &codeError{errMissing, "affected point code"}
+		return nil, &messageError{codeMissingParameter, "missing affected point code"}
 	}
-	if len(b) == 0 || len(b)%4 != 0 || len(b) > 4*mostAffected {
-		return nil, &codeError{errField, "affected point code"}
+	if len(b) == 0 || len(b)%4 != 0 || len(b) > 4*maxAffected {
+		return nil, &messageError{codeParameterField, "invalid affected point code"}
 	}
-	var out []pointRange
+	var out []pointCodeRange
 	for ; len(b) > 0; b = b[4:] {
 		v := binary.BigEndian.Uint32(b)
-		out = append(out, pointRange{code: v & 0xffffff, mask: uint8(v >> 24)})
+		out = append(out, pointCodeRange{code: v & 0xffffff, mask: uint8(v >> 24)})
 	}
 	return out, nil
 }
 
-// pointRange is point codes that differ in their last mask bits only (RFC 4666, 3.4.1).
-type pointRange struct {
+// pointCodeRange is the set of point codes that are equal to code except for the lowest mask bits (RFC 4666, 3.4.1).
+type pointCodeRange struct {
 	code uint32
 	mask uint8
 }
 
-// has tells whether a point code is one of them.
-func (r pointRange) has(pc uint32) bool { return r.mask >= 24 || r.code>>r.mask == pc>>r.mask }
+// contains reports whether a point code is in the range. A mask of 24 or more covers all point codes.
+func (r pointCodeRange) contains(pc uint32) bool { return r.mask >= 24 || r.code>>r.mask == pc>>r.mask }
 
-// level reads the congestion level of a SCON; one without is congested at the level that there is where levels
-// do not apply.
-func level(m Message) (int, error) {
-	b, ok := m.Get(paramLevel)
+// parseLevel returns the congestion level of a SCON. It is 1 if the message gives none, as in networks without
+// congestion levels.
+func parseLevel(m Message) (int, error) {
+	b, ok := m.Get(paramCongestion)
 	if !ok {
 		return 1, nil
 	}
 	if len(b) != 4 {
-		return 0, &codeError{errField, "congestion indications"}
+		return 0, &messageError{codeParameterField, "invalid congestion indications"}
 	}
 	return int(min(b[3], 3)), nil
 }
 
-// conditions says how an exchange is, in the messages for it.
-func conditions(context, pc uint32, c core.Condition) []Message {
-	p := []Param{word(paramContext, context), affected(pc)}
+// conditionMessages returns the messages that report the condition of the exchange with a point code: a DUNA, or a DAVA
+// and a SCON.
+func conditionMessages(routingContext, pc uint32, c core.Condition) []Message {
+	params := []Param{uint32Param(paramRoutingContext, routingContext), affectedParam(pc)}
 	if !c.Available {
-		return []Message{{classSSNM, typeDUNA, p}}
+		return []Message{{classSSNM, typeDUNA, params}}
 	}
-	return []Message{{classSSNM, typeDAVA, p},
-		{classSSNM, typeSCON, []Param{p[0], p[1], word(paramLevel, uint32(c.Level))}}}
+	return []Message{{classSSNM, typeDAVA, params},
+		{classSSNM, typeSCON, []Param{params[0], params[1], uint32Param(paramCongestion, uint32(c.Level))}}}
 }
 
-// SetCondition takes how an exchange is, and tells the active peers what is new of it. It does not block.
+// SetCondition stores the condition of an exchange and, if TellNetwork is set, notifies the active peers of what has
+// changed. It does not block.
 func (s *Server) SetCondition(exchange int, c core.Condition) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for pc, number := range s.exchanges {
-		was := s.conditions[pc]
-		if number != exchange || was == c {
+		old := s.conditions[pc]
+		if number != exchange || old == c {
 			continue
 		}
 		s.conditions[pc] = c
-		for _, m := range conditions(s.RoutingContext, pc, c) {
-			if !s.TellNetwork || m.Type == typeDAVA && was.Available || m.Type == typeSCON && was.Level == c.Level {
+		for _, m := range conditionMessages(s.RoutingContext, pc, c) {
+			if !s.TellNetwork || m.Type == typeDAVA && old.Available || m.Type == typeSCON && old.Level == c.Level {
 				continue
 			}
 			for _, p := range s.peers {
-				p.tell(m)
+				p.notify(m)
 			}
 		}
 	}
 }
 
-// tell sends a message on the peer's active association, if there is one.
-func (p *peer) tell(m Message) {
+// notify sends a message on the peer's active association, if there is one.
+func (p *peer) notify(m Message) {
 	p.mu.Lock()
-	x := p.session
+	a := p.association
 	p.mu.Unlock()
-	if x != nil {
-		x.say(m)
+	if a != nil {
+		a.sendMessage(m)
 	}
 }
 
-// brief tells a peer that has become active how the exchanges are that are not well.
-func (p *peer) brief(x *session) {
+// sendConditions notifies a peer that has become active of the exchanges that are unreachable or congested.
+func (p *peer) sendConditions(a *association) {
 	s := p.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,88 +109,89 @@
 		return
 	}
 	for pc := range s.exchanges {
-		c := s.conditions[pc] // one that was never listed can't be reached
-		for _, m := range conditions(s.RoutingContext, pc, c) {
+		c := s.conditions[pc] // zero if no condition was ever set: the exchange is unreachable
+		for _, m := range conditionMessages(s.RoutingContext, pc, c) {
 			if m.Type == typeDUNA || m.Type == typeSCON && c.Level > 0 {
-				x.say(m)
+				a.sendMessage(m)
 			}
 		}
 	}
 }
 
-// network takes a message on the state of the network. Its direction is that of the association's ends (RFC
-// 4666, 3.4): audits go to the server, all others to the client.
-func (s *session) network(m Message, unexpected error) error {
+// handleSSNM handles a message of signalling network management. By RFC 4666, 3.4, audits are sent to the server and
+// all other messages to the client. A message in the other direction, or while the association is not active, fails
+// with the given error.
+func (a *association) handleSSNM(m Message, unexpected error) error {
 	if m.Type < typeDUNA || m.Type > typeDRST {
-		return &codeError{errType, fmt.Sprintf("type %d of class %d", m.Type, m.Class)}
+		return &messageError{codeUnsupportedType, fmt.Sprintf("type %d of class %d", m.Type, m.Class)}
 	}
-	if State(s.state.Load()) != Active || (s.accept != nil) != (m.Type == typeDAUD) {
+	if State(a.state.Load()) != Active || (a.acceptASP != nil) != (m.Type == typeDAUD) {
 		return unexpected
 	}
-	list, err := readAffected(m)
+	ranges, err := parseAffected(m)
 	if err != nil {
 		return err
 	}
-	return s.managed(m, list)
+	return a.onSSNM(m, ranges)
 }
 
-// audit answers a peer's audit.
-func (p *peer) audit(x *session, list []pointRange) {
+// handleAudit answers a peer's audit with the condition of each exchange in the ranges.
+func (p *peer) handleAudit(a *association, ranges []pointCodeRange) {
 	s := p.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, r := range list {
+	for _, r := range ranges {
 		found := false
 		for pc := range s.exchanges {
-			if !r.has(pc) {
+			if !r.contains(pc) {
 				continue
 			}
 			found = true
 			c := s.conditions[pc]
-			for _, m := range conditions(s.RoutingContext, pc, c) {
+			for _, m := range conditionMessages(s.RoutingContext, pc, c) {
 				if m.Type != typeSCON || c.Level > 0 {
-					x.say(m)
+					a.sendMessage(m)
 				}
 			}
 		}
-		if !found { // nothing leads there
-			x.say(conditions(s.RoutingContext, r.code, core.Condition{})[0])
+		if !found { // no exchange has a point code in the range, so it is unavailable
+			a.sendMessage(conditionMessages(s.RoutingContext, r.code, core.Condition{})[0])
 		}
 	}
 }
 
-// managed obeys what the far end says of its exchange: nothing new is sent to one that can't be reached, less to
-// one that is congested. Calls that stand go on.
-func (l *link) managed(m Message, list []pointRange) error {
-	for _, r := range list {
-		if !r.has(l.PointCode) {
+// handleSSNM applies the state of the exchange that the far end reports. No new attempt is sent to an unreachable
+// exchange, and the core is notified of its congestion level. Standing calls continue.
+func (l *link) handleSSNM(m Message, ranges []pointCodeRange) error {
+	for _, r := range ranges {
+		if !r.contains(l.PointCode) {
 			continue
 		}
 		switch m.Type {
 		case typeDUNA, typeDUPU:
-			l.reach(false)
+			l.setReachable(false)
 		case typeDAVA, typeDRST:
-			l.reach(true)
+			l.setReachable(true)
 		case typeSCON:
-			n, err := level(m)
+			congestion, err := parseLevel(m)
 			if err != nil {
 				return err
 			}
-			l.client.events.Congested(brookmux.SwitchID(l.ID), n)
+			l.client.events.Congested(brookmux.SwitchID(l.ID), congestion)
 		}
 	}
 	return nil
 }
 
-// reach takes whether the exchange can be reached over the association.
-func (l *link) reach(ok bool) {
-	x := l.client
-	x.mu.Lock()
-	changed := l.unreachable == ok
-	l.unreachable = !ok
-	x.mu.Unlock()
+// setReachable records whether the exchange can be reached over the association, and publishes a change of that.
+func (l *link) setReachable(reachable bool) {
+	client := l.client
+	client.mu.Lock()
+	changed := l.unreachable == reachable
+	l.unreachable = !reachable
+	client.mu.Unlock()
 	if changed {
-		x.log.Info("m3ua exchange", "exchange", l.Number, "reachable", ok)
-		x.list()
+		client.log.Info("m3ua exchange", "exchange", l.Number, "reachable", reachable)
+		client.publishReachable()
 	}
 }
--- a/internal/m3ua/server.go
+++ b/internal/m3ua/server.go
@@ -14,7 +14,7 @@
 	"brookmux/internal/core"
 )
 
-// Engine is what the server hands requests to. *core.Engine is one.
+// Engine receives the requests of the server's peers. *core.Engine implements it.
 type Engine interface {
 	Linked(group string)
 	Offer(r core.Request)
@@ -22,63 +22,67 @@
 	Hangup(who core.Caller, key string, cause core.Cause, then func(known bool))
 }
 
-const acceptPause = 20 * time.Millisecond
+// acceptRetryDelay is the wait after a failed accept.
+const acceptRetryDelay = 20 * time.Millisecond
 
-// Causes that the server gives itself (Q.850).
+// Causes of calls that the server rejects itself (Q.850).
 const (
 	causeNoRoute       core.Cause = 3
 	causeInvalidNumber core.Cause = 28
 	causeProtocol      core.Cause = 111
 )
 
-// Server takes calls from peers.
+// Server accepts associations from the configured peers and passes their calls to the engine.
 type Server struct {
 	Config
-	engine    Engine
-	log       *slog.Logger
-	classes   map[uint8]string
-	exchanges map[uint32]int // by point code
-	most      int
+	engine          Engine
+	log             *slog.Logger
+	classes         map[uint8]string
+	exchanges       map[uint32]int // numbers by point code
+	maxAssociations int
 
-	TellLevel   bool // refusals carry the automatic congestion level
-	TellNetwork bool // peers are told of exchanges that are congested or can't be reached
+	TellLevel   bool // the REL of a rejected call holds the automatic congestion level
+	TellNetwork bool // peers are notified of exchanges that are congested or unreachable
 
-	sessions   sync.WaitGroup
-	mu         sync.Mutex
-	peers      map[uint32]*peer // by ASP identifier
-	open       int
-	conditions map[uint32]core.Condition // by point code, as last told
+	associations sync.WaitGroup
+	mu           sync.Mutex
+	peers        map[uint32]*peer // by ASP identifier
+	numOpen      int
+	conditions   map[uint32]core.Condition // last set, by point code
 }
 
-// peer is a configured peer with its circuits, a group for each point code that it calls.
+// peer is the state of one configured peer: its association and a circuit group for each point code that it calls.
 type peer struct {
 	Peer
-	server  *Server
-	mu      sync.Mutex
-	groups  map[uint32]*group
-	session *session // the active association, nil if there is none
+	server      *Server
+	mu          sync.Mutex
+	groups      map[uint32]*circuitGroup
+	association *association // the active association, nil if there is none
 }
 
-// NewServer returns a Server that holds at most so many associations.
-func NewServer(c Config, engine Engine, most int, log *slog.Logger) *Server {
-	s := &Server{Config: c, engine: engine, log: log, most: max(1, most),
-		classes: map[uint8]string{}, exchanges: map[uint32]int{}, peers: map[uint32]*peer{}, conditions: map[uint32]core.Condition{}}
-	for _, k := range c.Classes {
-		s.classes[k.Category] = k.Name
+// NewServer returns a Server that keeps at most maxAssociations associations at a time, and at least one. Set TellLevel
+// and TellNetwork before Serve.
+func NewServer(c Config, engine Engine, maxAssociations int, log *slog.Logger) *Server {
+	s := &Server{Config: c, engine: engine, log: log, maxAssociations: max(1, maxAssociations),
+		classes: map[uint8]string{}, exchanges: map[uint32]int{}, peers: map[uint32]*peer{},
+		conditions: map[uint32]core.Condition{}}
+	for _, class := range c.Classes {
+		s.classes[class.Category] = class.Name
 	}
 	for _, e := range c.Exchanges {
 		s.exchanges[e.PointCode] = e.Number
 	}
 	for _, p := range c.Peers {
-		s.peers[p.ASP] = &peer{Peer: p, server: s, groups: map[uint32]*group{}}
+		s.peers[p.ASP] = &peer{Peer: p, server: s, groups: map[uint32]*circuitGroup{}}
 	}
 	return s
 }
 
-// Wait returns once all associations are over, after Serve has returned as its context ended.
-func (s *Server) Wait() { s.sessions.Wait() }
+// Wait waits until all associations have ended. Call it after the context of Serve has ended and Serve has returned.
+func (s *Server) Wait() { s.associations.Wait() }
 
-// Serve accepts associations until the context ends or the listener fails.
+// Serve accepts associations until the context ends, when it returns nil, or the listener is closed. Other accept
+// errors are logged and accepting continues.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	defer context.AfterFunc(ctx, func() { l.Close() })()
 	for {
@@ -89,15 +93,15 @@
 		if errors.Is(err, net.ErrClosed) {
 			return fmt.Errorf("m3ua: accept: %w", err)
 		}
-		if err != nil { // no descriptor, or a connection that ended before it was taken: others will come
+		if err != nil { // out of descriptors, or the connection ended before accept: both pass
 			s.log.Warn("m3ua: accept", "error", err)
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		s.mu.Lock()
-		full := s.open >= s.most
+		full := s.numOpen >= s.maxAssociations
 		if !full {
-			s.open++
+			s.numOpen++
 		}
 		s.mu.Unlock()
 		if full {
@@ -105,214 +109,215 @@
 			conn.Close()
 			continue
 		}
-		s.sessions.Go(func() { s.take(ctx, conn) })
+		s.associations.Go(func() { s.serveAssociation(ctx, conn) })
 	}
 }
 
-// take serves an association to its end.
-func (s *Server) take(ctx context.Context, conn net.Conn) {
-	x := newSession(conn, s.RoutingContext, s.log)
+// serveAssociation serves an association until it ends.
+func (s *Server) serveAssociation(ctx context.Context, conn net.Conn) {
+	a := newAssociation(conn, s.RoutingContext, s.log)
 	var p *peer
-	x.accept = func(asp uint32, named bool) *codeError {
-		if s.peers[asp] == nil || !named {
-			return &codeError{errNoAS, fmt.Sprintf("ASP identifier %d", asp)}
+	a.acceptASP = func(asp uint32, hasID bool) *messageError {
+		if s.peers[asp] == nil || !hasID {
+			return &messageError{codeNoAS, fmt.Sprintf("ASP identifier %d", asp)}
 		}
 		if p != nil && p != s.peers[asp] {
-			return &codeError{errUnexpected, "ASP identifier changed"}
+			return &messageError{codeUnexpectedMessage, "ASP identifier changed"}
 		}
 		p = s.peers[asp]
 		return nil
 	}
-	x.changed = func(to State) {
-		if p.changed(x, to == Active); to == Active {
-			s.engine.Linked(p.name())
-			p.brief(x)
+	a.onState = func(to State) {
+		if p.associationChanged(a, to == Active); to == Active {
+			s.engine.Linked(p.callerGroup())
+			p.sendConditions(a)
 		}
 		s.log.Info("m3ua association", "asp", p.ASP, "state", to.String())
 	}
-	x.data = func(t transfer, m isup) error { return p.data(t, m) }
-	x.managed = func(_ Message, list []pointRange) error {
-		p.audit(x, list)
+	a.onISUP = func(d protocolData, m isupMessage) error { return p.handleISUP(d, m) }
+	a.onSSNM = func(_ Message, ranges []pointCodeRange) error {
+		p.handleAudit(a, ranges)
 		return nil
 	}
-	err := x.run(ctx, ms(s.Timers.Beat), ms(s.Timers.Ack))
+	err := a.serve(ctx, milliseconds(s.Timers.Beat), milliseconds(s.Timers.Ack))
 	if ctx.Err() == nil {
-		s.log.Info("m3ua association over", "error", err)
+		s.log.Info("m3ua association ended", "error", err)
 	}
 	s.mu.Lock()
-	s.open--
+	s.numOpen--
 	s.mu.Unlock()
 }
 
-// changed takes an association's start or end. A new one takes an older one's place: the peer has come back
-// before the end of the old one was seen.
-func (p *peer) changed(x *session, active bool) {
+// associationChanged records that an association has become active or is no longer. A new active association replaces
+// an older one: the peer may reconnect before the end of the old association is detected.
+func (p *peer) associationChanged(a *association, active bool) {
 	p.mu.Lock()
-	old := p.session
+	old := p.association
 	switch {
 	case active:
-		p.session = x
-	case old == x:
-		p.session = nil
+		p.association = a
+	case old == a:
+		p.association = nil
 	default:
 		p.mu.Unlock()
 		return
 	}
-	groups := make(map[uint32]*group, len(p.groups))
+	groups := make(map[uint32]*circuitGroup, len(p.groups))
 	for dpc, g := range p.groups {
 		groups[dpc] = g
 	}
 	p.mu.Unlock()
-	if old != nil && old != x {
+	if old != nil && old != a {
 		old.Close()
 	}
 	for dpc, g := range groups {
 		if active {
 			if old != nil {
-				p.lost(g)
+				p.withdrawUnanswered(g)
 			}
-			g.up(x.isup(dpc, p.PointCode))
+			g.associationUp(a.isupSender(dpc, p.PointCode))
 		} else {
-			p.lost(g)
+			p.withdrawUnanswered(g)
 		}
 	}
 }
 
-// lost withdraws the set-ups that were open on an association that is over. Calls that stand go on.
-func (p *peer) lost(g *group) {
-	for _, c := range g.down() {
-		g.clear(c.cic)
+// withdrawUnanswered withdraws the unanswered set-ups of a group whose association has ended. Standing calls continue.
+func (p *peer) withdrawUnanswered(g *circuitGroup) {
+	for _, c := range g.associationDown() {
+		g.free(c.cic)
 		p.server.engine.CallerLost(c.owner.(*caller), []string{c.key})
 	}
 }
 
-// name is the peer's as a caller group.
-func (p *peer) name() string { return fmt.Sprintf("point code %d", p.PointCode) }
+// callerGroup returns the name of the peer's caller group.
+func (p *peer) callerGroup() string { return fmt.Sprintf("point code %d", p.PointCode) }
 
-// group returns the circuits to a point code.
-func (p *peer) group(dpc uint32) *group {
+// group returns the circuit group to a point code, and creates it on first use.
+func (p *peer) group(dpc uint32) *circuitGroup {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	g := p.groups[dpc]
 	if g == nil {
-		g = newGroup(ms(p.server.Timers.T1))
+		g = newCircuitGroup(milliseconds(p.server.Timers.T1))
 		p.groups[dpc] = g
-		if p.session != nil {
-			g.send = p.session.isup(dpc, p.PointCode)
+		if p.association != nil {
+			g.send = p.association.isupSender(dpc, p.PointCode)
 		}
 	}
 	return g
 }
 
-// data takes an ISUP message from the peer.
-func (p *peer) data(t transfer, m isup) error {
-	_, known := p.server.exchanges[t.dpc]
-	if t.opc != p.PointCode {
-		return &codeError{errProtocol, fmt.Sprintf("point code %d is not the peer's", t.opc)}
+// handleISUP handles an ISUP message from the peer.
+func (p *peer) handleISUP(d protocolData, m isupMessage) error {
+	_, known := p.server.exchanges[d.dpc]
+	if d.opc != p.PointCode {
+		return &messageError{codeProtocolError, fmt.Sprintf("point code %d is not the peer's", d.opc)}
 	}
 	if !known {
 		if m.kind == kindIAM {
-			p.unrouted(t.dpc, m.cic)
+			p.rejectUnrouted(d.dpc, m.cic)
 		}
-		return nil // else of a call that was refused for its destination
+		return nil // other messages belong to a call that was rejected for its destination
 	}
-	g := p.group(t.dpc)
-	switch c, at := g.at(m.cic); m.kind {
+	g := p.group(d.dpc)
+	switch c, callPhase := g.lookup(m.cic); m.kind {
 	case kindIAM:
-		p.offer(g, t.dpc, m)
+		p.offer(g, d.dpc, m)
 	case kindREL:
-		if c != nil && at != releasing {
-			// The circuit is free from RLC on; an ANM that crosses this REL finds it gone.
-			g.clear(m.cic)
+		if c != nil && callPhase != releasing {
+			// The peer may seize the circuit again once it has the RLC. An answer that crosses this REL finds no
+			// circuit.
+			g.free(m.cic)
 			p.server.engine.Hangup(c.owner.(*caller), c.key, m.cause, func(bool) {})
 		} else if c != nil {
-			g.clear(m.cic) // both ends released it
+			g.free(m.cic) // both ends sent a REL
 		}
-		g.say(isup{cic: m.cic, kind: kindRLC})
+		g.sendMessage(isupMessage{cic: m.cic, kind: kindRLC})
 	case kindRLC:
-		if at == releasing {
-			g.clear(m.cic)
+		if callPhase == releasing {
+			g.free(m.cic)
 		}
 	}
 	return nil
 }
 
-// unrouted refuses a call to a destination that there is none of. Nothing is kept of it: a peer can make up as
-// many point codes as it likes.
-func (p *peer) unrouted(dpc uint32, cic uint16) {
+// rejectUnrouted rejects a call to a point code that no exchange has. It stores nothing, since a peer could otherwise
+// use up memory with arbitrary point codes.
+func (p *peer) rejectUnrouted(dpc uint32, cic uint16) {
 	p.mu.Lock()
-	x := p.session
+	a := p.association
 	p.mu.Unlock()
-	if x != nil {
-		x.isup(dpc, p.PointCode)(isup{cic: cic, kind: kindREL, cause: causeNoRoute})
+	if a != nil {
+		a.isupSender(dpc, p.PointCode)(isupMessage{cic: cic, kind: kindREL, cause: causeNoRoute})
 	}
 }
 
-// offer takes a call.
-func (p *peer) offer(g *group, dpc uint32, m isup) {
+// offer passes the call of an IAM to the engine, or rejects it.
+func (p *peer) offer(g *circuitGroup, dpc uint32, m isupMessage) {
 	s := p.server
 	key := newKey()
-	w := &caller{engine: s.engine, group: g, level: s.TellLevel}
-	w.circuit = g.seize(m.cic, key, w)
-	if w.circuit == nil {
+	call := &caller{engine: s.engine, group: g, sendLevel: s.TellLevel}
+	call.circuit = g.seize(m.cic, key, call)
+	if call.circuit == nil {
 		s.log.Debug("m3ua: IAM for a circuit in use", "asp", p.ASP, "cic", m.cic)
-		return // the circuit's first call is still owed its one answer
+		return // a REL would be the final answer of the call that already has the circuit
 	}
 	class, ok := s.classes[m.category]
 	destination := s.exchanges[dpc]
 	switch {
 	case !ok:
-		w.Refuse(key, core.Verdict{Cause: core.NotImplemented})
+		call.Refuse(key, core.Verdict{Cause: core.NotImplemented})
 		return
 	case m.number == "":
-		w.Refuse(key, core.Verdict{Cause: causeInvalidNumber})
+		call.Refuse(key, core.Verdict{Cause: causeInvalidNumber})
 		return
 	}
-	r := core.Request{Group: p.name(), Key: key, Class: class, Number: m.number, Left: m.left, Destination: destination, Width: 1,
-		Via: -1, Description: m.description, Caller: w}
+	r := core.Request{Group: p.callerGroup(), Key: key, Class: class, Number: m.number, Left: m.timeout,
+		Destination: destination, Width: 1, Via: -1, Description: m.description, Caller: call}
 	if from, ok := s.exchanges[p.PointCode]; ok {
 		r.Transit, r.Via = true, from
 	}
-	g.say(isup{cic: m.cic, kind: kindACM})
+	g.sendMessage(isupMessage{cic: m.cic, kind: kindACM})
 	s.engine.Offer(r)
 }
 
-// newKey makes a call's name: 16 hex digits.
+// newKey returns a random key for a call: 16 hex digits.
 func newKey() string {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // never fails, see crypto/rand
 	return hex.EncodeToString(b[:])
 }
 
-// caller is the core's Caller for one call.
+// caller implements core.Caller for one call of a peer.
 type caller struct {
-	engine  Engine
-	group   *group
-	circuit *circuit
-	level   bool // refusals say the congestion level
+	engine    Engine
+	group     *circuitGroup
+	circuit   *circuit
+	sendLevel bool // the REL of a rejected call holds the congestion level
 }
 
-// Stands implements core.Caller. An answer that no message can hold fails: the peer is told so, and the call
-// is released, from another goroutine since the owner of the core calls this.
+// Stands implements core.Caller. If the description does not fit in a message, the call fails: the circuit is released
+// and the core is notified, from another goroutine since Stands is called on the core's goroutine.
 func (c *caller) Stands(key string, description []byte) {
-	if !fits(description) {
+	if !descriptionFits(description) {
 		c.group.release(c.circuit, core.TemporaryFailure, 0)
 		go c.engine.Hangup(c, key, core.TemporaryFailure, func(bool) {})
 		return
 	}
-	if c.group.answer(c.circuit) {
-		c.group.say(isup{cic: c.circuit.cic, kind: kindANM, description: description})
+	if c.group.markAnswered(c.circuit) {
+		c.group.sendMessage(isupMessage{cic: c.circuit.cic, kind: kindANM, description: description})
 	}
 }
 
-// Refuse implements core.Caller.
+// Refuse implements core.Caller. It releases the circuit with the verdict's cause, retry advice and congestion level.
 func (c *caller) Refuse(_ string, v core.Verdict) {
-	rel := isup{cause: v.Cause, wait: v.Wait}
-	if c.level {
+	rel := isupMessage{cause: v.Cause, retryAfter: v.Wait}
+	if c.sendLevel {
 		rel.level = v.Level
 	}
-	c.group.refuse(c.circuit, rel)
+	c.group.releaseWith(c.circuit, rel)
 }
 
-// Release implements core.Caller.
+// Release implements core.Caller. It releases the circuit.
 func (c *caller) Release(_ string, cause core.Cause) { c.group.release(c.circuit, cause, 0) }
--- a/internal/m3ua/session.go
+++ b/internal/m3ua/session.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	mostFaults  = 16                     // messages at fault, one after another, that end an association
-	leaveWithin = 200 * time.Millisecond // the far end may take so long to end an association that this end has left
+	maxFaults    = 16                     // consecutive invalid messages that end an association
+	closeTimeout = 200 * time.Millisecond // wait for the far end to close after this end has half-closed
 )
 
-// State is that of an application server process (RFC 4666, 4.3.1).
+// State is the state of an application server process, ASP (RFC 4666, 4.3.1).
 type State int32
 
 // The states of an ASP.
@@ -30,10 +30,10 @@
 	Active
 )
 
-// String returns the state's name.
+// String returns the state's name, in lower case.
 func (s State) String() string { return [...]string{"down", "inactive", "active"}[s] }
 
-// Status information of a NTFY about the application server's state.
+// Values of the status parameter of a NTFY that reports a state change of the application server (RFC 4666, 3.8.2).
 const (
 	statusAS       = 1 << 16
 	statusInactive = statusAS | 2
@@ -41,247 +41,252 @@
 )
 
 var (
-	errSilent = errors.New("m3ua: heartbeat not acknowledged")
-	errNotUp  = errors.New("m3ua: association did not become active in time")
-	errFaults = errors.New("m3ua: too many messages at fault")
+	errHeartbeat     = errors.New("m3ua: heartbeat not acknowledged")
+	errNotActive     = errors.New("m3ua: association did not become active in time")
+	errTooManyFaults = errors.New("m3ua: too many invalid messages")
 )
 
-// session is one association, at either end of it.
-type session struct {
+// association is one association, at the server's or the client's end. Its callbacks must be set before serve.
+type association struct {
 	*stream.Writer
-	conn    net.Conn
-	log     *slog.Logger
-	context uint32 // routing context
+	conn           net.Conn
+	log            *slog.Logger
+	routingContext uint32
 
-	state  atomic.Int32
-	beaten atomic.Bool // the last heartbeat was acknowledged
-	mu     sync.Mutex
-	why    error // why this end closed it
+	state     atomic.Int32
+	beatAcked atomic.Bool // the last heartbeat was acknowledged
+	mu        sync.Mutex
+	closeErr  error // reason for which this end closed it; guarded by mu
 
-	accept  func(asp uint32, named bool) *codeError // server: an ASP came up
-	changed func(State)                             // called from the reader
-	data    func(transfer, isup) error              // called from the reader, while active
-	managed func(Message, []pointRange) error       // called from the reader, while active: a message of class SSNM
+	acceptASP func(asp uint32, hasID bool) *messageError // server only, else nil: an ASPUP arrived; an error rejects it
+	onState   func(State)                                // called from serve at a change of state
+	onISUP    func(protocolData, isupMessage) error      // called from serve, while active
+	onSSNM    func(Message, []pointCodeRange) error      // called from serve, while active: a message of class SSNM
 }
 
-func newSession(conn net.Conn, context uint32, log *slog.Logger) *session {
-	s := &session{Writer: stream.NewWriter(conn), conn: conn, context: context, log: log}
-	s.beaten.Store(true)
-	return s
+func newAssociation(conn net.Conn, routingContext uint32, log *slog.Logger) *association {
+	a := &association{Writer: stream.NewWriter(conn), conn: conn, routingContext: routingContext, log: log}
+	a.beatAcked.Store(true)
+	return a
 }
 
-// isup returns how to send ISUP messages between two point codes; that tells false if the association is over.
-func (s *session) isup(opc, dpc uint32) func(isup) bool {
-	return func(m isup) bool {
-		t := transfer{opc: opc, dpc: dpc, si: siISUP, sls: uint8(m.cic), user: m.append(nil)}
-		return s.say(t.message(s.context))
+// isupSender returns a function that sends ISUP messages between two point codes. It returns false if the association
+// has ended.
+func (a *association) isupSender(opc, dpc uint32) func(isupMessage) bool {
+	return func(m isupMessage) bool {
+		d := protocolData{opc: opc, dpc: dpc, si: siISUP, sls: uint8(m.cic), payload: m.append(nil)}
+		return a.sendMessage(d.toMessage(a.routingContext))
 	}
 }
 
-// say sends a message.
-func (s *session) say(m Message) bool { return s.Send(m.Append(nil)) }
+// sendMessage queues a message. It returns false if the association has ended.
+func (a *association) sendMessage(m Message) bool { return a.Send(m.Append(nil)) }
 
-// answer sends a message of one class and type with parameters.
-func (s *session) answer(c Class, t Type, p ...Param) { s.say(Message{c, t, p}) }
+// sendParams queues a message of the given class and type with the given parameters.
+func (a *association) sendParams(c Class, t Type, p ...Param) { a.sendMessage(Message{c, t, p}) }
 
-// fail ends the association for a reason of this end.
-func (s *session) fail(err error) {
-	s.mu.Lock()
-	if s.why == nil {
-		s.why = err
+// closeWithError closes the association and keeps the first such error for the result of serve.
+func (a *association) closeWithError(err error) {
+	a.mu.Lock()
+	if a.closeErr == nil {
+		a.closeErr = err
 	}
-	s.mu.Unlock()
-	s.Close()
+	a.mu.Unlock()
+	a.Close()
 }
 
-// move enters a state.
-func (s *session) move(to State) {
-	if State(s.state.Swap(int32(to))) != to && s.changed != nil {
-		s.changed(to)
+// setState sets the state and calls onState if it has changed.
+func (a *association) setState(to State) {
+	if State(a.state.Swap(int32(to))) != to && a.onState != nil {
+		a.onState(to)
 	}
 }
 
-// run reads the association to its end. Its state is Down after that.
-func (s *session) run(ctx context.Context, beat, ack time.Duration) error {
-	defer context.AfterFunc(ctx, s.leave)()
+// serve reads and handles messages until the association ends, or until the context ends and the association is closed
+// gracefully. The state is then Down. It returns the error that ended the association.
+func (a *association) serve(ctx context.Context, beatInterval, activeTimeout time.Duration) error {
+	defer context.AfterFunc(ctx, a.closeGracefully)()
 	done := make(chan struct{})
 	defer close(done)
-	go s.watch(done, beat, ack)
-	r, faults := bufio.NewReader(s.conn), 0
+	go a.monitor(done, beatInterval, activeTimeout)
+	r, faults := bufio.NewReader(a.conn), 0
 	for {
 		m, err := Read(r)
-		var told *codeError
+		var fault *messageError
 		if err == nil {
-			err = s.take(m)
+			err = a.handle(m)
 		}
-		if errors.As(err, &told) {
-			s.answer(classMgmt, typeErr, word(paramErrorCode, told.code))
-			if faults++; faults < mostFaults {
-				s.log.Info("m3ua", "error", err)
+		if errors.As(err, &fault) {
+			a.sendParams(classMgmt, typeErr, uint32Param(paramErrorCode, fault.code))
+			if faults++; faults < maxFaults {
+				a.log.Info("m3ua", "error", err)
 				continue
 			}
-			err = errFaults
+			err = errTooManyFaults
 		}
 		faults = 0
 		if err != nil {
-			s.move(Down)
-			s.Finish()
-			s.mu.Lock()
-			defer s.mu.Unlock()
-			return errors.Join(s.why, err)
+			a.setState(Down)
+			a.Finish()
+			a.mu.Lock()
+			defer a.mu.Unlock()
+			return errors.Join(a.closeErr, err)
 		}
 	}
 }
 
-// leave ends the association in order: what is queued is written, and what the far end still sends is read, until it ends
-// the association as well, for a time at most.
-func (s *session) leave() {
-	s.HalfClose()
-	time.AfterFunc(leaveWithin, s.Close)
+// closeGracefully half-closes the association after the queued messages are written. Input is still read until the far
+// end closes the association as well, for closeTimeout at most.
+func (a *association) closeGracefully() {
+	a.HalfClose()
+	time.AfterFunc(closeTimeout, a.Close)
 }
 
-// watch sends heartbeats and ends an association that does not become active or does not acknowledge.
-func (s *session) watch(done chan struct{}, beat, ack time.Duration) {
-	up, tick := time.NewTimer(ack), time.NewTicker(beat)
-	defer up.Stop()
-	defer tick.Stop()
+// monitor sends heartbeats. It closes an association that does not become active within activeTimeout, or whose far end
+// does not acknowledge a heartbeat before the next is due.
+func (a *association) monitor(done chan struct{}, beatInterval, activeTimeout time.Duration) {
+	activeTimer, ticker := time.NewTimer(activeTimeout), time.NewTicker(beatInterval)
+	defer activeTimer.Stop()
+	defer ticker.Stop()
 	for n := uint32(1); ; {
 		select {
 		case <-done:
 			return
-		case <-up.C:
-			// A client has nothing to wait for; to a server, an ASP that is up may stand by, and heartbeats
-			// tell whether it is there.
-			if state := State(s.state.Load()); state != Active && s.accept == nil || state == Down {
-				s.fail(errNotUp)
+		case <-activeTimer.C:
+			// A client activates the association itself. At a server, an ASP may stay inactive as a standby; heartbeats
+			// check that it responds.
+			if state := State(a.state.Load()); state != Active && a.acceptASP == nil || state == Down {
+				a.closeWithError(errNotActive)
 			}
-		case <-tick.C:
-			if State(s.state.Load()) == Down {
+		case <-ticker.C:
+			if State(a.state.Load()) == Down {
 				continue
 			}
-			if !s.beaten.Swap(false) {
-				s.fail(errSilent)
+			if !a.beatAcked.Swap(false) {
+				a.closeWithError(errHeartbeat)
 				return
 			}
-			s.answer(classASPSM, typeBeat, word(paramBeat, n))
+			a.sendParams(classASPSM, typeBeat, uint32Param(paramHeartbeat, n))
 			n++
 		}
 	}
 }
 
-// take handles a message. Which messages are legal depends on the end: a server hears the ASP's wishes, a
-// client their acknowledgements.
-func (s *session) take(m Message) error {
-	state := State(s.state.Load())
-	unexpected := &codeError{errUnexpected, fmt.Sprintf("class %d type %d while %v", m.Class, m.Type, state)}
-	server := s.accept != nil
+// handle handles a message. A server accepts the requests of the ASP, a client only the acknowledgements of its own
+// requests.
+func (a *association) handle(m Message) error {
+	state := State(a.state.Load())
+	unexpected := &messageError{codeUnexpectedMessage, fmt.Sprintf("class %d type %d while %v", m.Class, m.Type, state)}
+	server := a.acceptASP != nil
 	switch m.Class {
 	case classMgmt:
 		code, _ := m.Get(paramErrorCode)
 		status, _ := m.Get(paramStatus)
-		s.log.Info("m3ua management", "type", m.Type, "error", code, "status", status)
+		a.log.Info("m3ua management", "type", m.Type, "error", code, "status", status)
 	case classTransfer:
-		return s.transfer(m, state, unexpected)
+		return a.handleData(m, state, unexpected)
 	case classSSNM:
-		return s.network(m, unexpected)
+		return a.handleSSNM(m, unexpected)
 	case classASPSM:
 		switch {
 		case m.Type == typeUp && server:
-			return s.up(m)
+			return a.handleASPUp(m)
 		case m.Type == typeDown && server:
-			s.move(Down)
-			s.answer(classASPSM, typeDownAck)
+			a.setState(Down)
+			a.sendParams(classASPSM, typeDownAck)
 		case m.Type == typeBeat:
-			data, _ := m.Get(paramBeat)
-			s.answer(classASPSM, typeBeatAck, Param{paramBeat, data})
+			data, _ := m.Get(paramHeartbeat)
+			a.sendParams(classASPSM, typeBeatAck, Param{paramHeartbeat, data})
 		case m.Type == typeBeatAck:
-			s.beaten.Store(true)
+			a.beatAcked.Store(true)
 		case m.Type == typeUpAck && !server:
 			if state == Down {
-				s.move(Inactive)
-				s.answer(classASPTM, typeActive, word(paramContext, s.context))
+				a.setState(Inactive)
+				a.sendParams(classASPTM, typeActive, uint32Param(paramRoutingContext, a.routingContext))
 			}
 		case m.Type == typeDownAck && !server:
-			s.move(Down)
+			a.setState(Down)
 		case m.Type >= typeUp && m.Type <= typeBeatAck:
 			return unexpected
 		default:
-			return &codeError{errType, fmt.Sprintf("type %d of class %d", m.Type, m.Class)}
+			return &messageError{codeUnsupportedType, fmt.Sprintf("type %d of class %d", m.Type, m.Class)}
 		}
 	case classASPTM:
 		switch {
 		case m.Type == typeActive && server && state != Down:
-			return s.activate(m)
+			return a.handleASPActive(m)
 		case m.Type == typeInactive && server && state != Down:
-			s.move(Inactive)
-			s.answer(classASPTM, typeInactiveAck, word(paramContext, s.context))
-			s.answer(classMgmt, typeNtfy, word(paramStatus, statusInactive))
+			a.setState(Inactive)
+			a.sendParams(classASPTM, typeInactiveAck, uint32Param(paramRoutingContext, a.routingContext))
+			a.sendParams(classMgmt, typeNtfy, uint32Param(paramStatus, statusInactive))
 		case m.Type == typeActiveAck && !server && state != Down:
-			s.move(Active)
+			a.setState(Active)
 		case m.Type == typeInactiveAck && !server && state != Down:
-			s.move(Inactive)
+			a.setState(Inactive)
 		case m.Type >= typeActive && m.Type <= typeInactiveAck:
 			return unexpected
 		default:
-			return &codeError{errType, fmt.Sprintf("type %d of class %d", m.Type, m.Class)}
+			return &messageError{codeUnsupportedType, fmt.Sprintf("type %d of class %d", m.Type, m.Class)}
 		}
 	default:
-		return &codeError{errClass, fmt.Sprintf("class %d", m.Class)}
+		return &messageError{codeUnsupportedClass, fmt.Sprintf("class %d", m.Class)}
 	}
 	return nil
 }
 
-// up takes an ASPUP.
-func (s *session) up(m Message) error {
-	id, named := m.Get(paramASPID)
+// handleASPUp handles an ASPUP: if the ASP identifier is accepted, the state becomes Inactive.
+func (a *association) handleASPUp(m Message) error {
+	id, hasID := m.Get(paramASPID)
 	var asp uint32
-	if named = named && len(id) == 4; named {
+	if hasID = hasID && len(id) == 4; hasID {
 		asp = binary.BigEndian.Uint32(id)
 	}
-	if err := s.accept(asp, named); err != nil {
+	if err := a.acceptASP(asp, hasID); err != nil {
 		return err
 	}
-	s.move(Inactive)
-	s.answer(classASPSM, typeUpAck)
-	s.answer(classMgmt, typeNtfy, word(paramStatus, statusInactive))
+	a.setState(Inactive)
+	a.sendParams(classASPSM, typeUpAck)
+	a.sendParams(classMgmt, typeNtfy, uint32Param(paramStatus, statusInactive))
 	return nil
 }
 
-// activate takes an ASPAC.
-func (s *session) activate(m Message) error {
-	if c, ok := m.Get(paramContext); ok && (len(c) != 4 || binary.BigEndian.Uint32(c) != s.context) {
-		return &codeError{errNoAS, "routing context"}
+// handleASPActive handles an ASPAC. A routing context is optional, but must be the configured one. The acknowledgement
+// is queued before the messages that onState sends.
+func (a *association) handleASPActive(m Message) error {
+	if value, ok := m.Get(paramRoutingContext); ok &&
+		(len(value) != 4 || binary.BigEndian.Uint32(value) != a.routingContext) {
+		return &messageError{codeNoAS, "unknown routing context"}
 	}
-	s.answer(classASPTM, typeActiveAck, word(paramContext, s.context))
-	s.answer(classMgmt, typeNtfy, word(paramStatus, statusActive))
-	s.move(Active)
+	a.sendParams(classASPTM, typeActiveAck, uint32Param(paramRoutingContext, a.routingContext))
+	a.sendParams(classMgmt, typeNtfy, uint32Param(paramStatus, statusActive))
+	a.setState(Active)
 	return nil
 }
 
-// transfer takes a DATA message.
-func (s *session) transfer(m Message, state State, unexpected error) error {
+// handleData parses the ISUP message in a DATA message and passes it to onISUP.
+func (a *association) handleData(m Message, state State, unexpected error) error {
 	if m.Type != typeData {
-		return &codeError{errType, fmt.Sprintf("type %d of class %d", m.Type, m.Class)}
+		return &messageError{codeUnsupportedType, fmt.Sprintf("type %d of class %d", m.Type, m.Class)}
 	}
 	if state != Active {
 		return unexpected
 	}
-	t, err := readTransfer(m)
+	d, err := parseProtocolData(m)
 	if err != nil {
 		return err
 	}
-	if t.si != siISUP {
-		return &codeError{errProtocol, fmt.Sprintf("service indicator %d", t.si)}
+	if d.si != siISUP {
+		return &messageError{codeProtocolError, fmt.Sprintf("service indicator %d", d.si)}
 	}
-	u, err := parseISUP(t.user)
-	if err != nil && u.kind == kindIAM && s.accept != nil {
-		// A set-up that can't be read is owed its answer all the same: its circuit is known.
-		s.log.Warn("m3ua", "cic", u.cic, "error", err)
-		s.isup(t.dpc, t.opc)(isup{cic: u.cic, kind: kindREL, cause: causeProtocol})
+	msg, err := parseISUP(d.payload)
+	if err != nil && msg.kind == kindIAM && a.acceptASP != nil {
+		// An IAM with invalid parameters is still rejected with a REL, since its circuit is known.
+		a.log.Warn("m3ua", "cic", msg.cic, "error", err)
+		a.isupSender(d.dpc, d.opc)(isupMessage{cic: msg.cic, kind: kindREL, cause: causeProtocol})
 		return nil
 	}
 	if err != nil {
-		return &codeError{errProtocol, err.Error()}
+		return &messageError{codeProtocolError, err.Error()}
 	}
-	return s.data(t, u)
+	return a.onISUP(d, msg)
 }
--- a/internal/m3ua/session_test.go
+++ b/internal/m3ua/session_test.go
@@ -13,10 +13,10 @@
 	"brookmux/internal/testhost"
 )
 
-// TestLeaveWritesAll guards against releases that are lost in the program's exit: what was said before an association ends
-// with its context reaches a far end that answers each message, and one that never ends it keeps it for leaveWithin only.
+// TestLeaveWritesAll guards against releases that are lost when the program exits: messages queued before the context
+// ends must reach a far end that answers each of them. A far end that never closes delays the end by closeTimeout only.
 func TestLeaveWritesAll(t *testing.T) {
-	for name, ends := range map[string]bool{"far end ends it": true, "far end never does": false} {
+	for name, farCloses := range map[string]bool{"far end ends it": true, "far end never does": false} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", net.JoinHostPort(testhost.Host(), "0"))
 			require.NoError(t, err)
@@ -26,34 +26,35 @@
 			far, err := l.Accept()
 			require.NoError(t, err)
 			defer far.Close()
-			s := newSession(near, 1, slog.New(slog.DiscardHandler))
+			a := newAssociation(near, 1, slog.New(slog.DiscardHandler))
 			ctx, cancel := context.WithCancel(t.Context())
-			over := make(chan time.Duration, 1)
+			ended := make(chan time.Duration, 1)
 			go func() {
-				_ = s.run(ctx, time.Minute, time.Minute)
-				over <- 0
+				_ = a.serve(ctx, time.Minute, time.Minute)
+				ended <- 0
 			}()
 			const messages = 300
 			for range messages {
-				require.True(t, s.say(Message{classTransfer, typeData, []Param{word(paramContext, 1)}}))
+				require.True(t, a.sendMessage(Message{classTransfer, typeData,
+					[]Param{uint32Param(paramRoutingContext, 1)}}))
 			}
-			began := time.Now()
+			start := time.Now()
 			cancel()
 			r := bufio.NewReader(far)
 			for range messages {
 				_, err := Read(r)
 				require.NoError(t, err)
 				_, err = far.Write(Message{classASPSM, typeBeatAck, nil}.Append(nil))
-				require.NoError(t, err) // or the far end takes the association for broken, with what it has not read
+				require.NoError(t, err) // a reset here would discard what the far end has not read
 			}
-			if ends {
+			if farCloses {
 				far.Close()
 			}
-			<-over
-			if !ends {
-				require.GreaterOrEqual(t, time.Since(began), leaveWithin)
+			<-ended
+			if !farCloses {
+				require.GreaterOrEqual(t, time.Since(start), closeTimeout)
 			}
-			require.Less(t, time.Since(began), leaveWithin+time.Second)
+			require.Less(t, time.Since(start), closeTimeout+time.Second)
 		})
 	}
 }
