--- a/cmd/brookmux/cli.go
+++ b/cmd/brookmux/cli.go
@@ -32,37 +32,37 @@
 	"brookmux/yang"
 )
 
-// commands is the command line. Plain brookmux serves, as the platform starts it.
+// commands is the command line. Without a command, brookmux serves; the platform starts it so.
 type commands struct {
-	Serve   serveCommand   `cmd:"" default:"1" help:"Serve calls: what brookmux does without a command. Files are named by environment variables, see the README."`
-	Check   checkCommand   `cmd:"" help:"Read all files as serve would, and name each fault; the exit code tells whether there is any."`
-	Config  configCommands `cmd:"" help:"Read and change the configuration of a controller that serves, over NETCONF or gNMI."`
-	Watch   watchCommand   `cmd:"" help:"Print each change of the configuration, of exchanges and of storms as it is made, until interrupted."`
+	Serve   serveCommand   `cmd:"" default:"1" help:"Serve calls; the default without a command. Environment variables name the files, see the README."`
+	Check   checkCommand   `cmd:"" help:"Read all files as serve does and report each fault; the exit code is 1 if there is any."`
+	Config  configCommands `cmd:"" help:"Read and change the configuration of a running controller, over NETCONF or gNMI."`
+	Watch   watchCommand   `cmd:"" help:"Print changes of the configuration, of exchanges and of storms as they happen, until interrupted."`
 	Version versionCommand `cmd:"" help:"Print the version, the Go release and the models."`
 
-	Completions kongplete.InstallCompletions `cmd:"" help:"Print what the shell needs to complete brookmux's commands."`
+	Completions kongplete.InstallCompletions `cmd:"" help:"Print the shell configuration for completion of brookmux's commands."`
 }
 
-// command runs the command line and returns the exit code.
-func command(args []string, getenv func(string) string, out, errs io.Writer) int {
+// runCommand parses and runs a command line and returns the exit code.
+func runCommand(args []string, getenv func(string) string, out, errOut io.Writer) int {
 	code := 0
-	parser, err := kong.New(&commands{}, kong.Name("brookmux"), kong.Description("A border controller: admits calls, routes them, relays what comes of them."),
-		kong.Writers(out, errs), kong.BindTo(out, (*io.Writer)(nil)), kong.Bind(env(getenv)), kong.Exit(func(n int) { panic(exit(n)) }))
+	parser, err := kong.New(&commands{}, kong.Name("brookmux"), kong.Description("A border controller: admits calls, routes them and relays their outcomes."),
+		kong.Writers(out, errOut), kong.BindTo(out, (*io.Writer)(nil)), kong.Bind(env(getenv)), kong.Exit(func(n int) { panic(exitCode(n)) }))
 	if err != nil {
-		fmt.Fprintln(errs, err)
+		fmt.Fprintln(errOut, err)
 		return 1
 	}
 	func() {
-		defer func() { // help and completion end the parser
+		defer func() { // help and completion exit from the parser
 			switch p := recover().(type) {
 			case nil:
-			case exit:
+			case exitCode:
 				code = int(p)
 			default:
 				panic(p)
 			}
 		}()
-		if getenv("COMP_LINE") != "" { // the shell asks what may come next
+		if getenv("COMP_LINE") != "" { // the shell asks for completions
 			kongplete.Complete(parser)
 		}
 		c, err := parser.Parse(args)
@@ -70,25 +70,25 @@
 			err = c.Run()
 		}
 		if err != nil {
-			fmt.Fprintf(errs, "brookmux: %v\n", err)
+			fmt.Fprintf(errOut, "brookmux: %v\n", err)
 			code = 1
 		}
 	}()
 	return code
 }
 
-// exit ends the command line with a code.
-type exit int
+// exitCode is the panic value by which kong's exit function leaves the parser.
+type exitCode int
 
-// env reads the environment.
+// env looks up an environment variable, as os.Getenv does.
 type env func(string) string
 
 type serveCommand struct {
-	LogFormat string `help:"Form of the log: text or json." enum:"text,json" default:"text" env:"BROOKMUX_LOG_FORMAT"`
-	LogLevel  string `help:"Least level that is logged; debug logs every attempt, release and connection." enum:"debug,info,warn,error" default:"info" env:"BROOKMUX_LOG_LEVEL"`
+	LogFormat string `help:"Log format: text or json." enum:"text,json" default:"text" env:"BROOKMUX_LOG_FORMAT"`
+	LogLevel  string `help:"Lowest level that is logged; debug logs every attempt, release and connection." enum:"debug,info,warn,error" default:"info" env:"BROOKMUX_LOG_LEVEL"`
 }
 
-// Run serves until it is told to end.
+// Run serves until SIGTERM or an interrupt; SIGHUP reloads the platform configuration.
 func (c serveCommand) Run(out io.Writer, getenv env) error {
 	level := &slog.LevelVar{}
 	if err := level.UnmarshalText([]byte(c.LogLevel)); err != nil {
@@ -99,20 +99,20 @@
 	if c.LogFormat == "json" {
 		log = slog.New(slog.NewJSONHandler(out, options))
 	}
-	// A channel each: a signal that finds its channel full is dropped, and a reload must never hide the end.
+	// Separate channels: a signal is dropped if its channel is full, and a reload must not hide a stop.
 	s := signals{stop: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
 	signal.Notify(s.stop, syscall.SIGTERM, os.Interrupt)
 	signal.Notify(s.reload, syscall.SIGHUP)
-	if err := run(context.Background(), getenv, s, log, level, tune); err != nil {
+	if err := run(context.Background(), getenv, s, log, level, setProcessLimits); err != nil {
 		log.Error("brookmux", "error", err)
-		return errors.New("ended by an error: see the log")
+		return errors.New("stopped on an error: see the log")
 	}
 	return nil
 }
 
 type checkCommand struct{}
 
-// Run reads all files.
+// Run reads all files, prints the result of each and returns an error if any has a fault.
 func (checkCommand) Run(out io.Writer, getenv env) error {
 	faults := 0
 	check := func(path string, err error) {
@@ -130,13 +130,13 @@
 	_, err = m3ua.Load(path)
 	check(path, err)
 	path = cmp.Or(getenv("BROOKMUX_STORE"), "deploy/store.toml")
-	_, err = loadManage(path)
+	_, err = loadStore(path)
 	check(path, err)
 	path = cmp.Or(getenv("BROOKMUX_STORM"), "deploy/storm.toml")
 	_, err = stormconf.Load(path)
 	check(path, err)
 	path = cmp.Or(getenv("BROOKMUX_NETCONF"), "deploy/netconf.toml")
-	_, err = loadOperate(path)
+	_, err = loadNETCONF(path)
 	check(path, err)
 	if faults > 0 {
 		return fmt.Errorf("%d files can't be served", faults)
@@ -146,7 +146,7 @@
 
 type versionCommand struct{}
 
-// Run prints what this is.
+// Run prints the version, the Go release and the YANG modules with their revisions.
 func (versionCommand) Run(out io.Writer) error {
 	version, release := "unknown", ""
 	if b, ok := debug.ReadBuildInfo(); ok {
@@ -163,20 +163,20 @@
 	return nil
 }
 
-// target is the controller that a command speaks with.
+// target selects the controller that a command connects to.
 type target struct {
-	Via     string `help:"How: netconf or gnmi." enum:"netconf,gnmi" default:"netconf" env:"BROOKMUX_VIA"`
-	Address string `help:"Where its NETCONF or gNMI listens." default:"127.0.0.1:830" env:"BROOKMUX_ADDRESS"`
-	User    string `help:"Who logs in; the own name if not given." env:"BROOKMUX_USER"`
+	Via     string `help:"Protocol: netconf or gnmi." enum:"netconf,gnmi" default:"netconf" env:"BROOKMUX_VIA"`
+	Address string `help:"Address of its NETCONF or gNMI listener." default:"127.0.0.1:830" env:"BROOKMUX_ADDRESS"`
+	User    string `help:"User name; the name of the current user if not given." env:"BROOKMUX_USER"`
 	Key     string `help:"File with the private key." type:"existingfile" env:"BROOKMUX_KEY"`
-	Hosts   string `help:"NETCONF: file with the keys that controllers show themselves by, as known_hosts." type:"existingfile" env:"BROOKMUX_KNOWN_HOSTS"`
+	Hosts   string `help:"NETCONF: file with the host keys of controllers, in known_hosts format." type:"existingfile" env:"BROOKMUX_KNOWN_HOSTS"`
 	gnmiTarget
 }
 
-// dial opens a session.
+// dial opens a NETCONF session. The caller closes the client.
 func (t target) dial() (*netconf.Client, error) {
 	if t.Via == "gnmi" {
-		return nil, errNETCONF
+		return nil, errNeedsNETCONF
 	}
 	if t.Key == "" || t.Hosts == "" {
 		return nil, errors.New("--key and --hosts are needed")
@@ -200,16 +200,16 @@
 		}
 		t.User = u.Username
 	}
-	m, err := schema.Load(yang.Files)
+	model, err := schema.Load(yang.Files)
 	if err != nil {
 		return nil, err
 	}
 	return netconf.Dial(t.Address, &ssh.ClientConfig{User: t.User, Auth: []ssh.AuthMethod{ssh.PublicKeys(key)},
-		HostKeyCallback: hosts, Timeout: 10 * time.Second}, m)
+		HostKeyCallback: hosts, Timeout: 10 * time.Second}, model)
 }
 
-// with opens a session for a function.
-func (t target) with(f func(*netconf.Client) error) error {
+// withSession calls f with a NETCONF session and closes the session.
+func (t target) withSession(f func(*netconf.Client) error) error {
 	c, err := t.dial()
 	if err != nil {
 		return err
@@ -221,9 +221,9 @@
 	return err
 }
 
-// do carries out one operation.
-func (t target) do(op string) error {
-	return t.with(func(c *netconf.Client) error {
+// execute sends one NETCONF operation in a session of its own.
+func (t target) execute(op string) error {
+	return t.withSession(func(c *netconf.Client) error {
 		_, err := c.Do(op)
 		return err
 	})
@@ -231,28 +231,28 @@
 
 type configCommands struct {
 	target
-	Get      getCommand      `cmd:"" help:"Print a configuration, a line a leaf: path = value."`
-	Set      setCommand      `cmd:"" help:"Change the candidate, or with --via gnmi running: paths with values, as /limits/max-wait=5."`
-	Diff     diffCommand     `cmd:"" help:"Print how the candidate differs from running."`
-	Commit   commitCommand   `cmd:"" help:"Make running what the candidate is, on trial with --trial."`
-	Confirm  confirmCommand  `cmd:"" help:"Keep what was committed on trial."`
-	Cancel   cancelCommand   `cmd:"" help:"Take back what was committed on trial."`
-	Discard  discardCommand  `cmd:"" help:"Make the candidate what running is."`
-	Rollback rollbackCommand `cmd:"" help:"Put an earlier revision in force again."`
-	History  historyCommand  `cmd:"" help:"Print the revisions that can be gone back to."`
+	Get      getCommand      `cmd:"" help:"Print a configuration, one leaf per line: path = value."`
+	Set      setCommand      `cmd:"" help:"Change the candidate, or running with --via gnmi: paths with values, such as /limits/max-wait=5."`
+	Diff     diffCommand     `cmd:"" help:"Print the differences between candidate and running."`
+	Commit   commitCommand   `cmd:"" help:"Copy the candidate to running, on trial with --trial."`
+	Confirm  confirmCommand  `cmd:"" help:"Confirm a commit on trial."`
+	Cancel   cancelCommand   `cmd:"" help:"Cancel a commit on trial and restore the configuration before it."`
+	Discard  discardCommand  `cmd:"" help:"Reset the candidate to running."`
+	Rollback rollbackCommand `cmd:"" help:"Restore an earlier revision."`
+	History  historyCommand  `cmd:"" help:"Print the revisions available for rollback."`
 }
 
 type getCommand struct {
-	Path      string `arg:"" optional:"" help:"Print what is at this path only."`
-	Datastore string `help:"Which one; state is running with all that is seen." enum:"running,candidate,startup,state" default:"running"`
+	Path      string `arg:"" optional:"" help:"Print only this path."`
+	Datastore string `help:"Datastore to print; state is running with operational state." enum:"running,candidate,startup,state" default:"running"`
 }
 
 // Run prints a datastore.
 func (g getCommand) Run(t *configCommands, out io.Writer) error {
 	if t.Via == "gnmi" {
-		return g.gnmi(t, out)
+		return g.overGNMI(t, out)
 	}
-	return t.with(func(c *netconf.Client) error {
+	return t.withSession(func(c *netconf.Client) error {
 		tree, err := c.Config(datastore.Target(g.Datastore), g.Datastore == "state")
 		if err != nil {
 			return err
@@ -271,34 +271,34 @@
 
 type setCommand struct {
 	Changes []string `arg:"" optional:"" help:"Paths with values: PATH=VALUE."`
-	Remove  []string `help:"Paths to remove, one each time." sep:"none"`
+	Remove  []string `help:"Path to remove; may be repeated." sep:"none"`
 
-	Trial   time.Duration `help:"gNMI: take it back after this time unless it is confirmed."`
-	Persist string        `help:"gNMI: the word by which a trial is confirmed or cancelled." default:"brookmux"`
+	Trial   time.Duration `help:"gNMI: revert after this time unless confirmed."`
+	Persist string        `help:"gNMI: identifier for confirming or cancelling the trial." default:"brookmux"`
 }
 
 // Run changes the candidate.
 func (s setCommand) Run(t *configCommands) error {
 	var set []schema.Item
 	for _, text := range s.Changes {
-		end := strings.LastIndexByte(text, ']') + 1 // values of keys hold = too
+		end := strings.LastIndexByte(text, ']') + 1 // key predicates contain = as well
 		path, value, _ := strings.Cut(text[end:], "=")
 		set = append(set, schema.Item{Path: text[:end] + path, Value: value})
 	}
 	if t.Via == "gnmi" {
-		return s.gnmi(t, set)
+		return s.overGNMI(t, set)
 	}
 	if s.Trial != 0 {
 		return errors.New("--trial is for the commit, or for --via gnmi")
 	}
-	return t.with(func(c *netconf.Client) error { return c.Edit(set, s.Remove) })
+	return t.withSession(func(c *netconf.Client) error { return c.Edit(set, s.Remove) })
 }
 
 type diffCommand struct{}
 
-// Run prints the difference, and nothing where there is none.
+// Run prints one line for each value removed (-) or added (+), and nothing if there is no difference.
 func (diffCommand) Run(t *configCommands, out io.Writer) error {
-	return t.with(func(c *netconf.Client) error {
+	return t.withSession(func(c *netconf.Client) error {
 		running, err := c.Config(datastore.Running, false)
 		if err != nil {
 			return err
@@ -320,59 +320,59 @@
 }
 
 type commitCommand struct {
-	Trial   time.Duration `help:"Take it back after this time unless it is confirmed, as 5m."`
-	Persist string        `help:"The word by which a trial is confirmed or cancelled." default:"brookmux"`
+	Trial   time.Duration `help:"Revert after this time unless confirmed, such as 5m."`
+	Persist string        `help:"Identifier for confirming or cancelling the trial." default:"brookmux"`
 }
 
-// Run commits.
+// Run commits the candidate; with a trial time, as a confirmed commit (RFC 6241, 8.4).
 func (x commitCommand) Run(t *configCommands) error {
 	if x.Trial < 0 || x.Trial > 0 && x.Trial < time.Second {
-		return fmt.Errorf("--trial is %v: a second at least is needed", x.Trial)
+		return fmt.Errorf("--trial is %v: at least one second is needed", x.Trial)
 	}
 	if x.Trial == 0 {
-		return t.do("<commit/>")
+		return t.execute("<commit/>")
 	}
-	return t.do("<commit><confirmed/><confirm-timeout>" + strconv.Itoa(int(x.Trial.Seconds())) + "</confirm-timeout><persist>" +
+	return t.execute("<commit><confirmed/><confirm-timeout>" + strconv.Itoa(int(x.Trial.Seconds())) + "</confirm-timeout><persist>" +
 		netconf.Escape(x.Persist) + "</persist></commit>")
 }
 
 type confirmCommand struct {
-	Persist string `help:"The word that the trial was committed with." default:"brookmux"`
+	Persist string `help:"Identifier of the trial." default:"brookmux"`
 }
 
-// Run confirms.
+// Run confirms a commit on trial.
 func (x confirmCommand) Run(t *configCommands) error {
 	if t.Via == "gnmi" {
-		return t.set(&gnmi.SetRequest{Extension: extension(&gnmi_ext.Commit{Id: x.Persist, Action: &gnmi_ext.Commit_Confirm{Confirm: &gnmi_ext.CommitConfirm{}}})})
+		return t.set(&gnmi.SetRequest{Extension: commitExtension(&gnmi_ext.Commit{Id: x.Persist, Action: &gnmi_ext.Commit_Confirm{Confirm: &gnmi_ext.CommitConfirm{}}})})
 	}
-	return t.do("<commit><persist-id>" + netconf.Escape(x.Persist) + "</persist-id></commit>")
+	return t.execute("<commit><persist-id>" + netconf.Escape(x.Persist) + "</persist-id></commit>")
 }
 
 type cancelCommand struct {
-	Persist string `help:"The word that the trial was committed with." default:"brookmux"`
+	Persist string `help:"Identifier of the trial." default:"brookmux"`
 }
 
-// Run cancels.
+// Run cancels a commit on trial.
 func (x cancelCommand) Run(t *configCommands) error {
 	if t.Via == "gnmi" {
-		return t.set(&gnmi.SetRequest{Extension: extension(&gnmi_ext.Commit{Id: x.Persist, Action: &gnmi_ext.Commit_Cancel{Cancel: &gnmi_ext.CommitCancel{}}})})
+		return t.set(&gnmi.SetRequest{Extension: commitExtension(&gnmi_ext.Commit{Id: x.Persist, Action: &gnmi_ext.Commit_Cancel{Cancel: &gnmi_ext.CommitCancel{}}})})
 	}
-	return t.do("<cancel-commit><persist-id>" + netconf.Escape(x.Persist) + "</persist-id></cancel-commit>")
+	return t.execute("<cancel-commit><persist-id>" + netconf.Escape(x.Persist) + "</persist-id></cancel-commit>")
 }
 
 type discardCommand struct{}
 
-// Run discards.
-func (discardCommand) Run(t *configCommands) error { return t.do("<discard-changes/>") }
+// Run resets the candidate to running.
+func (discardCommand) Run(t *configCommands) error { return t.execute("<discard-changes/>") }
 
 type rollbackCommand struct {
-	Revision uint64 `arg:"" help:"The revision, see history."`
-	Comment  string `help:"What is kept with it."`
+	Revision uint64 `arg:"" help:"Revision number, see history."`
+	Comment  string `help:"Comment stored with the rollback."`
 }
 
-// Run goes back.
+// Run commits an earlier revision as the running configuration.
 func (x rollbackCommand) Run(t *configCommands) error {
-	return t.do(`<rollback xmlns="urn:brookmux:transactions"><revision>` + strconv.FormatUint(x.Revision, 10) + "</revision><comment>" +
+	return t.execute(`<rollback xmlns="urn:brookmux:transactions"><revision>` + strconv.FormatUint(x.Revision, 10) + "</revision><comment>" +
 		netconf.Escape(x.Comment) + "</comment></rollback>")
 }
 
@@ -380,7 +380,7 @@
 
 // Run prints the history, the newest first.
 func (historyCommand) Run(t *configCommands, out io.Writer) error {
-	return t.with(func(c *netconf.Client) error {
+	return t.withSession(func(c *netconf.Client) error {
 		tree, err := c.Config(datastore.Running, true)
 		if err != nil {
 			return err
@@ -401,23 +401,23 @@
 
 type watchCommand struct {
 	target
-	Since time.Duration `help:"Begin with what was kept since so long ago, as 10m."`
+	Since time.Duration `help:"Start with the stored events of this past period, such as 10m."`
 }
 
 // Run prints changes until the session ends.
 func (w watchCommand) Run(out io.Writer) error {
-	return w.with(func(c *netconf.Client) error {
+	return w.withSession(func(c *netconf.Client) error {
 		since := time.Time{}
 		if w.Since > 0 {
 			since = time.Now().Add(-w.Since)
 		}
 		return c.Watch(since, func(at string, e *etree.Element) error {
 			if e.SelectElement("edit") == nil {
-				words := []string{at, e.Tag}
+				fields := []string{at, e.Tag}
 				for _, x := range e.ChildElements() {
-					words = append(words, x.Tag+"="+x.Text())
+					fields = append(fields, x.Tag+"="+x.Text())
 				}
-				_, err := fmt.Fprintln(out, strings.Join(words, " "))
+				_, err := fmt.Fprintln(out, strings.Join(fields, " "))
 				return err
 			}
 			who := "-"
--- a/cmd/brookmux/cli_gnmi.go
+++ b/cmd/brookmux/cli_gnmi.go
@@ -24,18 +24,19 @@
 	"brookmux/internal/schema"
 )
 
-const gnmiWithin = 30 * time.Second
+// gnmiTimeout limits one gNMI command, connection included.
+const gnmiTimeout = 30 * time.Second
 
-// errNETCONF tells that gNMI has no such thing.
-var errNETCONF = errors.New("gNMI has no candidate and no history: use --via netconf")
+// errNeedsNETCONF is returned for commands that gNMI does not support.
+var errNeedsNETCONF = errors.New("gNMI has no candidate and no history: use --via netconf")
 
-// gnmiTarget is how a controller is reached over gNMI.
+// gnmiTarget holds the TLS files for a connection over gNMI.
 type gnmiTarget struct {
-	Cert string `help:"gNMI: file with the own certificate; without it the address has to be loopback." type:"existingfile"`
-	CA   string `help:"gNMI: file with the authority of the controllers' certificates." type:"existingfile"`
+	Cert string `help:"gNMI: file with the client certificate; without it the address must be loopback." type:"existingfile"`
+	CA   string `help:"gNMI: file with the CA of the controllers' certificates." type:"existingfile"`
 }
 
-// credentials are what gNMI is spoken with.
+// credentials returns the transport credentials for gNMI: mutual TLS, or none for a loopback address without --cert.
 func (t target) credentials() (credentials.TransportCredentials, error) {
 	if t.Cert == "" {
 		host, _, err := net.SplitHostPort(t.Address)
@@ -43,7 +44,7 @@
 			return nil, err
 		}
 		if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-			return nil, fmt.Errorf("%s is not loopback: --cert is needed", t.Address)
+			return nil, fmt.Errorf("%s is not a loopback address: --cert is needed", t.Address)
 		}
 		return insecure.NewCredentials(), nil
 	}
@@ -62,8 +63,8 @@
 	return credentials.NewTLS(&tls.Config{Certificates: []tls.Certificate{pair}, RootCAs: pool, MinVersion: tls.VersionTLS13}), nil
 }
 
-// gnmi opens a connection for a function.
-func (t target) gnmi(f func(context.Context, gnmi.GNMIClient) error) error {
+// overGNMI calls f with a gNMI connection and closes it. Errors contain the gRPC code and message.
+func (t target) overGNMI(f func(context.Context, gnmi.GNMIClient) error) error {
 	creds, err := t.credentials()
 	if err != nil {
 		return err
@@ -72,7 +73,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), gnmiWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), gnmiTimeout)
 	defer cancel()
 	err = f(ctx, gnmi.NewGNMIClient(conn))
 	if s, ok := status.FromError(err); ok && err != nil {
@@ -81,7 +82,7 @@
 	return errors.Join(err, conn.Close())
 }
 
-// gnmiPath is a path as gNMI has it.
+// gnmiPath parses a path and returns its gNMI form.
 func gnmiPath(text string) (*gnmi.Path, error) {
 	steps, err := schema.ParsePath(text)
 	if err != nil {
@@ -94,17 +95,17 @@
 	return p, nil
 }
 
-// get prints leaves.
-func (g getCommand) gnmi(t *configCommands, out io.Writer) error {
+// overGNMI prints the leaves below the path, one per line.
+func (g getCommand) overGNMI(t *configCommands, out io.Writer) error {
 	kind, ok := map[string]gnmi.GetRequest_DataType{"running": gnmi.GetRequest_CONFIG, "state": gnmi.GetRequest_ALL}[g.Datastore]
 	if !ok {
-		return errNETCONF
+		return errNeedsNETCONF
 	}
 	p, err := gnmiPath(g.Path)
 	if err != nil {
 		return err
 	}
-	return t.gnmi(func(ctx context.Context, c gnmi.GNMIClient) error {
+	return t.overGNMI(func(ctx context.Context, c gnmi.GNMIClient) error {
 		r, err := c.Get(ctx, &gnmi.GetRequest{Path: []*gnmi.Path{p}, Type: kind, Encoding: gnmi.Encoding_PROTO})
 		if err != nil {
 			return err
@@ -123,15 +124,15 @@
 						b.WriteString("[" + k + "=" + schema.Quote(e.GetKey()[k]) + "]")
 					}
 				}
-				fmt.Fprintf(out, "%s = %s\n", b.String(), value(u.GetVal()))
+				fmt.Fprintf(out, "%s = %s\n", b.String(), leafText(u.GetVal()))
 			}
 		}
 		return nil
 	})
 }
 
-// value is a leaf's value as text.
-func value(v *gnmi.TypedValue) string {
+// leafText returns a leaf's value as text.
+func leafText(v *gnmi.TypedValue) string {
 	switch x := v.GetValue().(type) {
 	case *gnmi.TypedValue_StringVal:
 		return x.StringVal
@@ -145,8 +146,8 @@
 	return v.String()
 }
 
-// gnmi makes all changes in one transaction, on trial or for good.
-func (s setCommand) gnmi(t *configCommands, set []schema.Item) error {
+// overGNMI makes all changes in one Set, as a confirmed commit if Trial is set.
+func (s setCommand) overGNMI(t *configCommands, set []schema.Item) error {
 	r := &gnmi.SetRequest{}
 	for _, i := range set {
 		p, err := gnmiPath(i.Path)
@@ -163,20 +164,20 @@
 		r.Delete = append(r.Delete, p)
 	}
 	if s.Trial > 0 {
-		r.Extension = extension(&gnmi_ext.Commit{Id: s.Persist, Action: &gnmi_ext.Commit_Commit{Commit: &gnmi_ext.CommitRequest{
+		r.Extension = commitExtension(&gnmi_ext.Commit{Id: s.Persist, Action: &gnmi_ext.Commit_Commit{Commit: &gnmi_ext.CommitRequest{
 			RollbackDuration: durationpb.New(s.Trial)}}})
 	}
 	return t.set(r)
 }
 
-// extension wraps the commit-confirmed extension.
-func extension(c *gnmi_ext.Commit) []*gnmi_ext.Extension {
+// commitExtension returns the extensions of a request with the commit-confirmed extension.
+func commitExtension(c *gnmi_ext.Commit) []*gnmi_ext.Extension {
 	return []*gnmi_ext.Extension{{Ext: &gnmi_ext.Extension_Commit{Commit: c}}}
 }
 
-// set makes a Set.
+// set sends a Set request.
 func (t target) set(r *gnmi.SetRequest) error {
-	return t.gnmi(func(ctx context.Context, c gnmi.GNMIClient) error {
+	return t.overGNMI(func(ctx context.Context, c gnmi.GNMIClient) error {
 		_, err := c.Set(ctx, r)
 		return err
 	})
--- a/cmd/brookmux/config.go
+++ b/cmd/brookmux/config.go
@@ -16,28 +16,28 @@
 	"brookmux/internal/stormconf"
 )
 
-// platform is what the platform's configuration file says.
+// platform is the content of the platform's configuration file.
 type platform struct {
 	name, listen, nameserver string
 	seed                     uint64
 	cores                    float64
-	memory                   int64 // bytes
-	sockets                  int
-	known                    *fastjson.Value
+	memory                   int64           // bytes
+	sockets                  int             // descriptors
+	cachedList               *fastjson.Value // the cached membership list
 	settings                 settings.Settings
 }
 
-// config is all that the program is told at its start.
+// config is the whole configuration that is read at start.
 type config struct {
 	platform
-	m3ua   m3ua.Config
-	storm  stormconf.File
-	manage manageConfig
-	op     operateConfig
+	m3ua    m3ua.Config
+	storm   stormconf.File
+	store   storeConfig
+	netconf netconfConfig
 }
 
-// load reads the configuration files; listen, where given, goes before what the platform's file says.
-func load(path, listen, m3uaFile, storeFile, stormFile, netconfFile string) (config, error) {
+// loadConfig reads the configuration files. A non-empty listen address takes precedence over the platform's file.
+func loadConfig(path, listen, m3uaFile, storeFile, stormFile, netconfFile string) (config, error) {
 	p, err := loadPlatform(path, listen)
 	c := config{platform: p}
 	if err != nil {
@@ -49,15 +49,15 @@
 	if c.storm, err = stormconf.Load(stormFile); err != nil {
 		return c, err
 	}
-	if c.op, err = loadOperate(netconfFile); err != nil {
+	if c.netconf, err = loadNETCONF(netconfFile); err != nil {
 		return c, err
 	}
-	c.manage, err = loadManage(storeFile)
+	c.store, err = loadStore(storeFile)
 	return c, err
 }
 
-// faultLine is the line at which a text stops being JSON, or 0.
-func faultLine(text []byte) int {
+// syntaxErrorLine returns the line of the first JSON syntax error in a text, or 0 if there is none.
+func syntaxErrorLine(text []byte) int {
 	var bad *json.SyntaxError
 	if !errors.As(json.Unmarshal(text, new(any)), &bad) {
 		return 0
@@ -65,7 +65,8 @@
 	return 1 + bytes.Count(text[:min(int(bad.Offset), len(text))], []byte("\n"))
 }
 
-// loadPlatform reads the platform's file and checks it.
+// loadPlatform reads and checks the platform's file. A non-empty listen address takes precedence over the file.
+// The defaults are 192 MiB of memory and 1024 descriptors.
 func loadPlatform(path, listen string) (platform, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -73,7 +74,7 @@
 	}
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
-		if n := faultLine(text); n > 0 {
+		if n := syntaxErrorLine(text); n > 0 {
 			err = fmt.Errorf("line %d: %w", n, err)
 		}
 		return platform{}, fmt.Errorf("configuration %s: %w", path, err)
@@ -81,11 +82,11 @@
 	limits := v.Get("limits")
 	p := platform{name: string(v.GetStringBytes("name")), listen: string(v.GetStringBytes("listen")),
 		nameserver: string(v.GetStringBytes("nameserver")), cores: limits.GetFloat64("cores"),
-		memory: int64(limits.GetInt("memory_mb")) << 20, sockets: limits.GetInt("sockets"), known: v.Get("known")}
+		memory: int64(limits.GetInt("memory_mb")) << 20, sockets: limits.GetInt("sockets"), cachedList: v.Get("known")}
 	if listen != "" {
 		p.listen = listen
 	}
-	if p.listen == "" || p.nameserver == "" || p.known == nil {
+	if p.listen == "" || p.nameserver == "" || p.cachedList == nil {
 		return p, errors.New("configuration: listen, nameserver and known are needed")
 	}
 	if err := directory.Check(p.nameserver); err != nil {
--- a/cmd/brookmux/main.go
+++ b/cmd/brookmux/main.go
@@ -1,5 +1,5 @@
-// Command brookmux is the border controller: it wires the fronts, the core and the links to the cores
-// together and runs them from start to exit.
+// Command brookmux is the border controller. It connects the SIP and M3UA fronts, the call engine and the links to the
+// cores, and runs them from start to exit.
 package main
 
 import (
@@ -26,37 +26,40 @@
 	"brookmux/internal/sipfront"
 )
 
-// before is how far the clock's zero lies before the start: cores that started earlier than that started
-// long ago.
-const before = time.Hour
+// originOffset is how far the zero of the engine's clock lies before the start of the program. A core that started
+// before that zero counts as long started.
+const originOffset = time.Hour
 
-func main() { os.Exit(command(os.Args[1:], os.Getenv, os.Stdout, os.Stderr)) }
+func main() { os.Exit(runCommand(os.Args[1:], os.Getenv, os.Stdout, os.Stderr)) }
 
-// signals are what the program is told from outside: to end, or to read its configuration again.
+// signals carries the process signals for run: stop ends the program, reload reads the platform configuration again.
 type signals struct{ stop, reload chan os.Signal }
 
-// tune keeps the process within its limits.
-func tune(c config) {
+// setProcessLimits sets GOMAXPROCS from the configured number of cores, and the Go memory limit to three quarters of
+// the configured memory.
+func setProcessLimits(c config) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.cores))))
 	debug.SetMemoryLimit(c.memory * 3 / 4)
 }
 
-// run is the program from start to exit. What holds for the whole process is left to its caller.
+// run is the program from start to exit. It returns nil after a drain that a stop signal started, and an error if the
+// start fails or a part of the program ends. Settings of the whole process (signals, log output, limits) belong to the
+// caller; setLimits is called with the configuration at the start and after each reload.
 func run(ctx context.Context, getenv func(string) string, signals signals, log *slog.Logger,
-	level *slog.LevelVar, tune func(config)) error {
-	conf, err := load(getenv("GW_CONFIG"), getenv("GW_LISTEN"), cmp.Or(getenv("BROOKMUX_M3UA"), "deploy/m3ua.toml"),
+	level *slog.LevelVar, setLimits func(config)) error {
+	conf, err := loadConfig(getenv("GW_CONFIG"), getenv("GW_LISTEN"), cmp.Or(getenv("BROOKMUX_M3UA"), "deploy/m3ua.toml"),
 		cmp.Or(getenv("BROOKMUX_STORE"), "deploy/store.toml"), cmp.Or(getenv("BROOKMUX_STORM"), "deploy/storm.toml"),
 		cmp.Or(getenv("BROOKMUX_NETCONF"), "deploy/netconf.toml"))
 	if err != nil {
 		return err
 	}
 	log = log.With("name", conf.name)
-	tune(conf)
+	setLimits(conf)
 
 	phase := &lifecycle.Lifecycle{}
 	phase.Watch(func(from, to lifecycle.State) { log.Info("phase", "from", from.String(), "to", to.String()) })
-	reader := directory.Reader{Zones: conf.settings.Zones, Origin: time.Now().Add(-before)}
-	known, err := reader.Known(conf.known)
+	reader := directory.Reader{Zones: conf.settings.Zones, Origin: time.Now().Add(-originOffset)}
+	cachedList, err := reader.Known(conf.cachedList)
 	if err != nil {
 		return err
 	}
@@ -68,29 +71,29 @@
 	links.m3ua = m3ua.NewClient(conf.m3ua, log, func(list []brookmux.Switch) { merge.Set("m3ua", brookmux.Full, list) })
 	var front *sipfront.Front
 	reports := make(chan core.Counts, 1)
-	damping, err := damper(conf)
+	stormControl, err := newStorm(conf)
 	if err != nil {
 		return err
 	}
-	var peering atomic.Pointer[m3ua.Server]
+	var m3uaServer atomic.Pointer[m3ua.Server]
 	var associations sync.WaitGroup
-	engine, err := core.New(core.Config{Storm: damping, Condition: func(exchange int, c core.Condition) {
-		if s := peering.Load(); s != nil {
+	engine, err := core.New(core.Config{Storm: stormControl, Condition: func(exchange int, c core.Condition) {
+		if s := m3uaServer.Load(); s != nil {
 			s.SetCondition(exchange, c)
 		}
 	}, Settings: conf.settings, Seed: conf.seed, Trunks: links, Log: log,
 		Origin: reader.Origin, Reports: reports, MostBytes: conf.memory / 8,
 		ReleaseOrphan: func(key string, cause core.Cause) { front.ReleaseOrphan(key, cause) },
-		Took:          func() { _ = phase.To(lifecycle.Serving) }, // not ahead when it already drains
+		Took:          func() { _ = phase.To(lifecycle.Serving) }, // fails, without effect, while draining
 	})
 	if err != nil {
 		return err
 	}
 	links.Serve(engine)
 	merge.Told = engine.Listed
-	callers, peers := shares(conf.sockets, len(conf.m3ua.Peers))
-	front = sipfront.New(engine, phase, callers, log)
-	if err := tell(conf, front); err != nil {
+	maxCallers, peers := splitDescriptors(conf.sockets, len(conf.m3ua.Peers))
+	front = sipfront.New(engine, phase, maxCallers, log)
+	if err := configureFront(conf, front); err != nil {
 		return err
 	}
 	listener, err := listen(conf.listen, log)
@@ -100,50 +103,50 @@
 
 	failed := make(chan error, 6)
 	go func() { failed <- engine.Run(ctx) }()
-	place := &placement{links: links, merge: merge, here: conf.settings.Module.Here, engine: engine,
+	table := &exchangeTable{links: links, merge: merge, here: conf.settings.Module.Here, engine: engine,
 		now: func() time.Duration { return time.Since(reader.Origin) }}
-	place.told(known, brookmux.Cached)
-	names, err := directory.NewService(reader, conf.nameserver, known.Serial, log,
-		func(l directory.List) { place.told(l, brookmux.Full) })
+	table.setListed(cachedList, brookmux.Cached)
+	nameService, err := directory.NewService(reader, conf.nameserver, cachedList.Serial, log,
+		func(l directory.List) { table.setListed(l, brookmux.Full) })
 	if err != nil {
 		return err
 	}
-	go func() { failed <- names.Run(ctx) }()
-	manager, err := openManager(conf.manage, &manager{name: conf.name, log: log, level: level, usualLevel: level.Level(), engine: engine,
-		front: front, most: conf.settings.MostHeld})
+	go func() { failed <- nameService.Run(ctx) }()
+	manager, err := openManager(conf.store, &manager{name: conf.name, log: log, level: level,
+		defaultLevel: level.Level(), engine: engine, front: front, maxOpen: conf.settings.MostHeld})
 	if err != nil {
 		return err
 	}
 	defer manager.close()
 	go manager.publish(ctx, phase, reports)
-	over := &overlay{engine: engine, front: front, most: manager.setMost, settings: conf.settings, bytes: conf.memory / 8,
-		callers: callers}
-	operator, err := openOperator(ctx, conf.op, place, over, manager, conf.settings.Zones, failed)
+	settingsOverlay := &overlay{engine: engine, front: front, setMaxOpen: manager.setMaxOpen,
+		settings: conf.settings, maxBytes: conf.memory / 8, maxCallers: maxCallers}
+	operator, err := openOperator(ctx, conf.netconf, table, settingsOverlay, manager, conf.settings.Zones, failed)
 	if err != nil {
 		return err
 	}
 	defer operator.close()
 	if operator == nil {
-		go manager.follow(ctx)
+		go manager.applyChanges(ctx)
 	}
-	if err := manager.serve(conf.manage, operator, failed); err != nil {
+	if err := manager.serve(conf.store, operator, failed); err != nil {
 		return err
 	}
-	// Before either front listens: the first call makes it serving, and from there no way leads back.
+	// Before either front accepts calls: the first call changes the state to serving, and ready can't follow serving.
 	if err := phase.To(lifecycle.Ready); err != nil {
 		return err
 	}
 	if conf.m3ua.Enabled {
-		if err := serveM3UA(ctx, conf, engine, links, peers, log, failed, &peering, &associations); err != nil {
+		if err := serveM3UA(ctx, conf, engine, links, peers, log, failed, &m3uaServer, &associations); err != nil {
 			return err
 		}
 	}
 	reloader := &reloader{path: getenv("GW_CONFIG"), listen: getenv("GW_LISTEN"), conf: conf.platform,
-		peers: len(conf.m3ua.Peers), reader: reader, names: names, links: links.Pool, over: over,
-		tune: tune, log: log}
+		peers: len(conf.m3ua.Peers), reader: reader, nameService: nameService, links: links.Pool,
+		settingsOverlay: settingsOverlay, setLimits: setLimits, log: log}
 	reloader.serve = func(l net.Listener) {
 		serving, stop := context.WithCancel(ctx)
-		reloader.unserve = stop
+		reloader.stopServing = stop
 		go func() {
 			if err := front.Serve(serving, l); err != nil || ctx.Err() != nil {
 				failed <- err
@@ -151,12 +154,12 @@
 		}()
 	}
 	reloader.serve(listener)
-	kill := time.Time{}
+	killTime := time.Time{}
 	for drained := (<-chan struct{})(nil); ; {
 		select {
 		case err := <-failed:
-			return errors.Join(errors.New("stopped by itself"), err)
-		case <-signals.reload: // also while draining: what is open still follows the name service
+			return errors.Join(errors.New("stopped unexpectedly"), err)
+		case <-signals.reload: // also while draining: open calls still depend on the name service
 			reloader.reload()
 			continue
 		case <-signals.stop:
@@ -166,22 +169,22 @@
 			if err := phase.To(lifecycle.Draining); err != nil {
 				return err
 			}
-			kill = time.Now().Add(killAfter(reloader.conf.settings))
-			front.Drain(kill)
+			killTime = time.Now().Add(killDelay(reloader.conf.settings))
+			front.Drain(killTime)
 			drained = engine.Drain()
 			continue
 		case <-drained:
 		}
 		break
 	}
-	shutDown(front, links, kill, log)
+	shutDown(front, links, killTime, log)
 	cancel()
 	links.Wait()
 	associations.Wait()
 	return phase.To(lifecycle.Stopped)
 }
 
-// listen opens the SIP front's port.
+// listen opens the listener of the SIP front and logs its address.
 func listen(address string, log *slog.Logger) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -191,33 +194,35 @@
 	return l, nil
 }
 
-// shares is how many descriptors SIP callers and M3UA peers get: a third of all together. A peer that comes back
-// may hold two for a moment.
-func shares(sockets, peers int) (sip, m3ua int) {
-	callers := sockets / 3
-	m3ua = min(2*peers, callers/2)
-	return callers - m3ua, m3ua
+// splitDescriptors returns how many connections SIP callers and M3UA peers may hold: together a third of the
+// descriptors. Each peer counts twice, as one that reconnects may hold two connections for a moment; peers get at most
+// half of the share.
+func splitDescriptors(sockets, peers int) (sip, m3ua int) {
+	total := sockets / 3
+	m3ua = min(2*peers, total/2)
+	return total - m3ua, m3ua
 }
 
-// connectionsPerCore is how many connections to each core the descriptors allow. The more there are, the fewer set-ups one
-// that fails takes with it. A core sends a group's state on four at most: three leave one for the time in which
-// a new connection takes the place of another.
+// connectionsPerCore returns how many connections to open to each core with this many descriptors, 1 to 3. With more
+// connections, one that fails affects fewer set-ups. A core sends a group's state on at most four connections; three
+// leave one for the time in which a new connection replaces an old one.
 func connectionsPerCore(sockets int) int { return max(1, min(3, sockets/64)) }
 
-// serveM3UA starts the second front.
-func serveM3UA(ctx context.Context, conf config, engine *core.Engine, links *trunks, peers int, log *slog.Logger,
-	failed chan<- error, peering *atomic.Pointer[m3ua.Server], associations *sync.WaitGroup) error {
+// serveM3UA starts the M3UA client, and the M3UA server if an address is configured. Errors of a running server go to
+// failed; associations counts the goroutines to wait for at exit.
+func serveM3UA(ctx context.Context, conf config, engine *core.Engine, links *trunks, maxPeers int, log *slog.Logger,
+	failed chan<- error, m3uaServer *atomic.Pointer[m3ua.Server], associations *sync.WaitGroup) error {
 	if conf.m3ua.Listen != "" {
 		l, err := net.Listen("tcp", conf.m3ua.Listen)
 		if err != nil {
 			return fmt.Errorf("m3ua: listen: %w", err)
 		}
 		log.Info("m3ua listens", "address", l.Addr().String())
-		server := m3ua.NewServer(conf.m3ua, engine, peers, log)
+		server := m3ua.NewServer(conf.m3ua, engine, maxPeers, log)
 		server.TellLevel = conf.storm.Enabled && conf.storm.Told.Level
 		server.TellNetwork = conf.storm.Enabled && conf.storm.Told.Network
-		peering.Store(server)
-		engine.Conditions() // what has been told while nobody was there to hear it
+		m3uaServer.Store(server)
+		engine.Conditions() // the conditions reported before the server existed
 		associations.Go(func() {
 			if err := server.Serve(ctx, l); err != nil {
 				failed <- err
@@ -230,29 +235,29 @@
 	return nil
 }
 
-// trunks are the ways to the cores: JSON lines, or M3UA for the exchanges that are reached by it.
+// trunks implements core.Trunks. It uses M3UA for the exchanges that are reached by it, and JSON lines for all others.
 type trunks struct {
 	*corelink.Pool
 	m3ua *m3ua.Client
 }
 
-// SetUp implements core.Trunks, as do the methods below.
-func (t *trunks) SetUp(to brookmux.SwitchID, a core.Attempt) { t.to(to).SetUp(to, a) }
+// SetUp implements core.Trunks.
+func (t *trunks) SetUp(to brookmux.SwitchID, a core.Attempt) { t.linkTo(to).SetUp(to, a) }
 
-// Release gives a set-up up, or ends a call.
+// Release implements core.Trunks.
 func (t *trunks) Release(to brookmux.SwitchID, key string, cause core.Cause) {
-	t.to(to).Release(to, key, cause)
+	t.linkTo(to).Release(to, key, cause)
 }
 
-// to is the way to a core.
-func (t *trunks) to(id brookmux.SwitchID) core.Trunks {
+// linkTo returns the link that serves a core.
+func (t *trunks) linkTo(id brookmux.SwitchID) core.Trunks {
 	if t.m3ua.Serves(id) {
 		return t.m3ua
 	}
 	return t.Pool
 }
 
-// cores lists whom the pool connects to: all that run but the own exchange.
+// cores returns the cores of the membership list that the pool connects to: all but those of the local exchange.
 func cores(l directory.List, here int) []corelink.Core {
 	var out []corelink.Core
 	for _, e := range l.Entries {
--- a/cmd/brookmux/main_test.go
+++ b/cmd/brookmux/main_test.go
@@ -16,7 +16,7 @@
 	"brookmux/internal/playback"
 )
 
-// inProcess runs the program in the test's own process, where the race detector sees it.
+// inProcess runs the program inside the test process, so that the race detector covers it.
 func inProcess(_ *testing.T, env map[string]string, out io.Writer) playback.Process {
 	s, done := signals{make(chan os.Signal, 1), make(chan os.Signal, 1)}, make(chan error, 1)
 	level := &slog.LevelVar{}
@@ -36,11 +36,11 @@
 	}}
 }
 
-// TestExchanges plays the recorded exchanges.
+// TestExchanges plays the recorded exchanges of testdata.
 func TestExchanges(t *testing.T) { playback.Run(t, "testdata/*.txt", inProcess) }
 
-// TestBinary builds the program as it is deployed, starts it, speaks to it over sockets and ends it with
-// SIGTERM: it must exit with 0.
+// TestBinary builds the deployed binary, plays exchanges with it over sockets and ends it with SIGTERM: it must exit
+// with 0.
 func TestBinary(t *testing.T) {
 	bin := filepath.Join(t.TempDir(), "brookmux")
 	out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput()
--- a/cmd/brookmux/manage.go
+++ b/cmd/brookmux/manage.go
@@ -30,47 +30,48 @@
 	"brookmux/internal/tomlfile"
 )
 
-// Paths of the model that the program itself reads and writes.
+// Paths of the model that the program reads and writes.
 const (
 	configPath     = "/border-control/config/"
 	controllerPath = "/border-control/controllers/controller[name=%s]/"
 )
 
 const (
-	publishWithin = 5 * time.Second
+	publishTimeout = 5 * time.Second
 
-	mostOperators   = 8 // gNMI connections, so that descriptors are left for calls
-	mostStreams     = 32
-	mostRequest     = 64 << 10
-	handshakeWithin = 5 * time.Second
-	operatorIdle    = 5 * time.Minute // connections without a call end; others are asked whether they are there
+	maxOperatorConnections = 8 // gNMI connections; leaves descriptors for calls
+	maxStreams             = 32
+	maxRequestBytes        = 64 << 10
+	handshakeTimeout       = 5 * time.Second
+	operatorIdleTimeout    = 5 * time.Minute // closes connections without an RPC; keepalive interval of the others
 )
 
-// manageConfig is what deploy/store.toml says.
-type manageConfig struct {
-	Bind    string         `toml:"bind"`   // where the other replicas reach this one; empty: alone, no port
-	Dir     string         `toml:"dir"`    // where the replica's log is kept; empty: in memory
-	GNMI    string         `toml:"gnmi"`   // where gNMI listens; empty: nowhere
-	TLS     tlsFiles       `toml:"tls"`    // for gNMI; without it, gNMI listens on loopback only
-	Members []store.Member `toml:"member"` // all replicas, with bind
+// storeConfig is the content of deploy/store.toml.
+type storeConfig struct {
+	Bind    string         `toml:"bind"`   // address for the other replicas; empty for a single replica without a port
+	Dir     string         `toml:"dir"`    // directory of the replica's log; empty to keep it in memory
+	GNMI    string         `toml:"gnmi"`   // address of the gNMI listener; empty for none
+	TLS     tlsFiles       `toml:"tls"`    // for gNMI; without it, only a loopback address is allowed
+	Members []store.Member `toml:"member"` // all replicas; used with bind
 }
 
-// tlsFiles name a certificate with its key, and the authority whose clients are let in.
+// tlsFiles names the files of the server's certificate and key, and of the CA that signs client certificates.
 type tlsFiles struct {
 	Cert     string `toml:"cert"`
 	Key      string `toml:"key"`
 	ClientCA string `toml:"client_ca"`
 }
 
-// credentials returns what gNMI is served with: both ends show certificates, or the address is loopback.
-func (c manageConfig) credentials() (credentials.TransportCredentials, error) {
+// credentials returns the transport credentials of the gNMI server: mutual TLS, or none if no files are set, in which
+// case the address must be loopback.
+func (c storeConfig) credentials() (credentials.TransportCredentials, error) {
 	if c.TLS == (tlsFiles{}) {
 		host, _, err := net.SplitHostPort(c.GNMI)
 		if err != nil {
 			return nil, fmt.Errorf("gnmi: %w", err)
 		}
 		if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-			return nil, fmt.Errorf("gnmi: %s is not loopback: tls is needed", c.GNMI)
+			return nil, fmt.Errorf("gnmi: %s is not a loopback address: tls is needed", c.GNMI)
 		}
 		return insecure.NewCredentials(), nil
 	}
@@ -80,19 +81,19 @@
 	}
 	ca, err := os.ReadFile(c.TLS.ClientCA)
 	if err != nil {
-		return nil, fmt.Errorf("gnmi: client authority: %w", err)
+		return nil, fmt.Errorf("gnmi: client CA: %w", err)
 	}
 	clients := x509.NewCertPool()
 	if !clients.AppendCertsFromPEM(ca) {
-		return nil, fmt.Errorf("gnmi: client authority %s holds no certificate", c.TLS.ClientCA)
+		return nil, fmt.Errorf("gnmi: client CA file %s holds no certificate", c.TLS.ClientCA)
 	}
 	return credentials.NewTLS(&tls.Config{Certificates: []tls.Certificate{cert}, ClientCAs: clients,
 		ClientAuth: tls.RequireAndVerifyClientCert, MinVersion: tls.VersionTLS13}), nil
 }
 
-// loadManage reads the file; where there is none, the store is one member in memory.
-func loadManage(path string) (manageConfig, error) {
-	var c manageConfig
+// loadStore reads the file. Without a file, the store is a single replica in memory.
+func loadStore(path string) (storeConfig, error) {
+	var c storeConfig
 	text, err := os.ReadFile(path)
 	if os.IsNotExist(err) {
 		return c, nil
@@ -106,28 +107,28 @@
 	return c, nil
 }
 
-// manager ties the store to the program: what is configured takes effect, and what there is to tell is kept.
+// manager connects the replicated store to the program: it applies configured leaves and publishes state and counters.
 type manager struct {
 	name  string
 	store *store.Store
 	log   *slog.Logger
 	level *slog.LevelVar
 
-	usualLevel slog.Level // where operators have set none
-	engine     *core.Engine
-	front      *sipfront.Front
-	grpc       *grpc.Server
+	defaultLevel slog.Level // used while no log level is configured
+	engine       *core.Engine
+	front        *sipfront.Front
+	grpc         *grpc.Server
 
 	mu        sync.Mutex
-	event     func(string, ...[2]string) // nil while nobody can be told
-	committed *string                    // max-open-calls as it was committed; nil where it is set in the store
-	most      int                        // calls open at a time, by the settings; what is set by gNMI goes before it
+	notify    func(string, ...[2]string) // sends an event to the subscribers; nil until NETCONF is open
+	committed *string                    // committed max-open-calls; nil while the store holds it
+	maxOpen   int                        // calls open at a time by the platform's settings, unless configured
 }
 
-// setMost takes what the settings say of the calls open at a time.
-func (m *manager) setMost(n int) {
+// setMaxOpen sets the platform's limit on calls open at a time, and applies it unless max-open-calls is configured.
+func (m *manager) setMaxOpen(n int) {
 	m.mu.Lock()
-	m.most = n
+	m.maxOpen = n
 	m.mu.Unlock()
 	value, _ := m.store.Get(configPath + "max-open-calls")
 	m.mu.Lock()
@@ -135,11 +136,11 @@
 		value = *m.committed
 	}
 	m.mu.Unlock()
-	m.effect("max-open-calls", value)
+	m.applyLeaf("max-open-calls", value)
 }
 
-// openManager opens the store.
-func openManager(c manageConfig, m *manager) (*manager, error) {
+// openManager opens the store of m and returns m.
+func openManager(c storeConfig, m *manager) (*manager, error) {
 	var err error
 	if m.store, err = store.Open(store.Config{ID: m.name, Bind: c.Bind, Dir: c.Dir, Members: c.Members, Log: m.log}); err != nil {
 		return nil, err
@@ -147,8 +148,9 @@
 	return m, nil
 }
 
-// serve opens gNMI where the file says so, on the transactional configuration if there is one.
-func (m *manager) serve(c manageConfig, op *operator, failed chan<- error) error {
+// serve starts the gNMI server if an address is configured. It serves the transactional configuration if op is not nil,
+// else the replicated store. Errors of the server go to failed.
+func (m *manager) serve(c storeConfig, op *operator, failed chan<- error) error {
 	if c.GNMI == "" {
 		return nil
 	}
@@ -171,61 +173,62 @@
 		return fmt.Errorf("gnmi: listen: %w", err)
 	}
 	m.log.Info("gnmi listens", "address", l.Addr().String())
-	m.grpc = grpc.NewServer(grpc.Creds(creds), grpc.MaxConcurrentStreams(mostStreams), grpc.MaxRecvMsgSize(mostRequest),
-		grpc.ConnectionTimeout(handshakeWithin), grpc.KeepaliveParams(keepalive.ServerParameters{
-			MaxConnectionIdle: operatorIdle, Time: operatorIdle}))
+	m.grpc = grpc.NewServer(grpc.Creds(creds), grpc.MaxConcurrentStreams(maxStreams), grpc.MaxRecvMsgSize(maxRequestBytes),
+		grpc.ConnectionTimeout(handshakeTimeout), grpc.KeepaliveParams(keepalive.ServerParameters{
+			MaxConnectionIdle: operatorIdleTimeout, Time: operatorIdleTimeout}))
 	gnmi.RegisterGNMIServer(m.grpc, mgmt.NewServer(schema, source, m.log))
 	go func() {
-		if err := m.grpc.Serve(netutil.LimitListener(l, mostOperators)); err != nil {
+		if err := m.grpc.Serve(netutil.LimitListener(l, maxOperatorConnections)); err != nil {
 			failed <- fmt.Errorf("gnmi: %w", err)
 		}
 	}()
 	return nil
 }
 
-// leaves are those of the border controller itself that take effect here.
-var leaves = []string{"admin-state", "log-level", "max-open-calls", "report-interval"}
+// controllerLeaves are the configuration leaves of the border controller that applyLeaf applies.
+var controllerLeaves = []string{"admin-state", "log-level", "max-open-calls", "report-interval"}
 
-// managerPart lets them take effect where they are part of the transactional configuration.
+// managerPart applies controllerLeaves from a committed transactional configuration.
 type managerPart struct{ *manager }
 
-// Name and Apply implement transact.Part.
+// Name implements transact.Part, as does Apply.
 func (managerPart) Name() string { return "controller" }
 
 func (m managerPart) Apply(_ uint64, running *schema.Node, _ []schema.Change) error {
-	at := running.Get("border-control")
-	if at != nil {
-		at = at.Get("config")
+	node := running.Get("border-control")
+	if node != nil {
+		node = node.Get("config")
 	}
-	for _, leaf := range leaves {
+	for _, leaf := range controllerLeaves {
 		value := ""
-		if at != nil {
-			value, _ = at.Leaf(leaf)
+		if node != nil {
+			value, _ = node.Leaf(leaf)
 		}
 		if leaf == "max-open-calls" {
 			m.mu.Lock()
 			m.committed = &value
 			m.mu.Unlock()
 		}
-		m.effect(leaf, value)
+		m.applyLeaf(leaf, value)
 	}
 	return nil
 }
 
-// follow lets the configuration take effect, now and at each change, until the context ends.
-func (m *manager) follow(ctx context.Context) {
+// applyChanges applies the configuration in the store now and at each change, until the context ends.
+func (m *manager) applyChanges(ctx context.Context) {
 	for ctx.Err() == nil {
 		changes, cancel := m.store.Watch()
 		set, _ := m.store.List(configPath)
-		for _, leaf := range leaves {
-			m.effect(leaf, set[configPath+leaf])
+		for _, leaf := range controllerLeaves {
+			m.applyLeaf(leaf, set[configPath+leaf])
 		}
 		m.watch(ctx, changes)
 		cancel()
 	}
 }
 
-// watch follows changes until the channel closes, as it does where they came faster than they took effect.
+// watch applies changes until the context ends or the channel closes. The store closes the channel if changes arrive
+// faster than they are applied.
 func (m *manager) watch(ctx context.Context, changes <-chan []store.Op) {
 	for {
 		select {
@@ -237,7 +240,7 @@
 			}
 			for _, op := range ops {
 				if leaf, ok := strings.CutPrefix(op.Path, configPath); ok {
-					m.effect(leaf, op.Value)
+					m.applyLeaf(leaf, op.Value)
 					m.log.Info("configured", "leaf", leaf, "value", op.Value)
 				}
 			}
@@ -245,22 +248,22 @@
 	}
 }
 
-// effect lets one leaf take effect; an empty value is one that is not set. Values were checked against the
-// model before they came into the store.
-func (m *manager) effect(leaf, value string) {
-	n, _ := strconv.Atoi(value) // not a number: 0, as if not set
+// applyLeaf applies one leaf; an empty value means that the leaf is not set. Values are checked against the model
+// before they enter the store.
+func (m *manager) applyLeaf(leaf, value string) {
+	n, _ := strconv.Atoi(value) // 0, as for an unset leaf, if it is not a number
 	switch leaf {
 	case "admin-state":
 		m.front.SetInService(value != "out-of-service")
 	case "log-level":
 		if value == "" || m.level.UnmarshalText([]byte(value)) != nil {
-			m.level.Set(m.usualLevel)
+			m.level.Set(m.defaultLevel)
 		}
 	case "max-open-calls":
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		if n == 0 {
-			n = m.most
+			n = m.maxOpen
 		}
 		m.engine.SetMostOpen(n)
 	case "report-interval":
@@ -268,7 +271,7 @@
 	}
 }
 
-// publish keeps the phase and the counters in the store whenever there are new ones, until the context ends.
+// publish writes the phase and the counters of each report to the store, until the context ends.
 func (m *manager) publish(ctx context.Context, phase *lifecycle.Lifecycle, reports <-chan core.Counts) {
 	base := fmt.Sprintf(controllerPath, m.name)
 	var states map[storm.Scope]storm.State
@@ -278,29 +281,29 @@
 			return
 		case n := <-reports:
 			m.mu.Lock()
-			event := m.event
+			notify := m.notify
 			m.mu.Unlock()
-			if event != nil {
-				states = stormEvents(states, n.Storm, event)
+			if notify != nil {
+				states = stormEvents(states, n.Storm, notify)
 			}
 			ops := []store.Op{{Path: base + "name", Value: m.name}, {Path: base + "phase", Value: phase.State().String()}}
 			for name, v := range map[string]int{"taken": n.Taken, "stood": n.Stood, "refused": n.Refused, "failed": n.Failed,
 				"withdrawn": n.Withdrawn + n.CallerLost, "sent": n.Sent, "cut": n.Cut, "guards": n.Guards} {
 				ops = append(ops, store.Op{Path: base + "counters/" + name, Value: strconv.Itoa(v)})
 			}
-			if m.grpc != nil { // else nobody reads it
+			if m.grpc != nil { // without gNMI nobody reads it
 				ops = append(ops, stormOps(base+"storm/", n.Storm)...)
 			}
-			ctx, cancel := context.WithTimeout(ctx, publishWithin)
+			ctx, cancel := context.WithTimeout(ctx, publishTimeout)
 			if _, err := m.store.Apply(ctx, store.Change{Ops: ops}); err != nil {
-				m.log.Warn("state not kept", "error", err)
+				m.log.Warn("state not stored", "error", err)
 			}
 			cancel()
 		}
 	}
 }
 
-// close ends gNMI and the store.
+// close stops the gNMI server and closes the store.
 func (m *manager) close() {
 	if m.grpc != nil {
 		m.grpc.Stop()
--- a/cmd/brookmux/operate.go
+++ b/cmd/brookmux/operate.go
@@ -36,33 +36,35 @@
 )
 
 const (
-	usualKeep    = 50
-	mostSessions = 32
-	operateEvery = 250 * time.Millisecond
+	// defaultKeep is the number of revisions kept for rollback if the file sets none.
+	defaultKeep      = 50
+	maxSessions      = 32
+	operatorInterval = 250 * time.Millisecond
 )
 
-// operateConfig is what deploy/netconf.toml says.
-type operateConfig struct {
+// netconfConfig is the content of deploy/netconf.toml, with the keys that check reads.
+type netconfConfig struct {
 	Enabled  bool     `toml:"enabled"`
-	Listen   string   `toml:"listen"`    // where NETCONF listens; empty: nowhere
-	HostKeys []string `toml:"host_keys"` // files; several while one takes another's place
-	Journal  string   `toml:"journal"`   // the folder of what was committed; empty: in memory
-	Keep     int      `toml:"keep"`      // revisions that can be gone back to, 0 for the usual 50
+	Listen   string   `toml:"listen"`    // address of the NETCONF listener; empty for none
+	HostKeys []string `toml:"host_keys"` // files with private keys; several during a key change
+	Journal  string   `toml:"journal"`   // directory of the commit journal; empty to keep it in memory
+	Keep     int      `toml:"keep"`      // revisions kept for rollback, 0 for the default of 50
 	Users    []struct {
 		Name string   `toml:"name"`
 		Keys []string `toml:"keys"` // as in authorized_keys
-		// Recovery is for one who may do everything, whatever the rules under /nacm say (RFC 8341, 3.5.2).
+		// Recovery marks a user who may do everything, whatever the rules under /nacm (RFC 8341, 3.5.2).
 		Recovery bool `toml:"recovery"`
 	} `toml:"user"`
 
-	hosts []ssh.Signer
-	users map[string][]ssh.PublicKey
-	all   map[string]bool // recovery users
+	hostSigners   []ssh.Signer
+	userKeys      map[string][]ssh.PublicKey
+	recoveryUsers map[string]bool // by name
 }
 
-// loadOperate reads the file; where there is none, operators change nothing while the program runs.
-func loadOperate(path string) (operateConfig, error) {
-	var c operateConfig
+// loadNETCONF reads and checks the file. Without a file it returns a disabled configuration: operators can't change the
+// configuration while the program runs.
+func loadNETCONF(path string) (netconfConfig, error) {
+	var c netconfConfig
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return c, nil
@@ -79,16 +81,16 @@
 	return c, nil
 }
 
-// check reads the keys and names the field that can't be served.
-func (c *operateConfig) check() error {
+// check reads the host keys and user keys, and fills in defaults. Its error names the field at fault.
+func (c *netconfConfig) check() error {
 	if !c.Enabled {
 		return nil
 	}
 	if c.Keep < 0 || c.Keep > 1000 {
-		return fmt.Errorf("keep is %d: 1 to 1000 are possible, 0 for %d", c.Keep, usualKeep)
+		return fmt.Errorf("keep is %d: must be 1 to 1000, or 0 for %d", c.Keep, defaultKeep)
 	}
 	if c.Keep == 0 {
-		c.Keep = usualKeep
+		c.Keep = defaultKeep
 	}
 	for i, file := range c.HostKeys {
 		text, err := os.ReadFile(file)
@@ -99,91 +101,91 @@
 		if err != nil {
 			return fmt.Errorf("host_keys[%d]: %s: %w", i, file, err)
 		}
-		c.hosts = append(c.hosts, k)
+		c.hostSigners = append(c.hostSigners, k)
 	}
-	c.users, c.all = map[string][]ssh.PublicKey{}, map[string]bool{}
+	c.userKeys, c.recoveryUsers = map[string][]ssh.PublicKey{}, map[string]bool{}
 	for i, u := range c.Users {
-		if u.Name == "" || c.users[u.Name] != nil {
-			return fmt.Errorf("user[%d]: a name is needed, of each user once", i)
+		if u.Name == "" || c.userKeys[u.Name] != nil {
+			return fmt.Errorf("user[%d]: name is missing or used twice", i)
 		}
-		c.all[u.Name] = u.Recovery
+		c.recoveryUsers[u.Name] = u.Recovery
 		for n, text := range u.Keys {
 			k, _, _, _, err := ssh.ParseAuthorizedKey([]byte(text))
 			if err != nil {
 				return fmt.Errorf("user[%d].keys[%d]: %w", i, n, err)
 			}
-			c.users[u.Name] = append(c.users[u.Name], k)
+			c.userKeys[u.Name] = append(c.userKeys[u.Name], k)
 		}
 		if len(u.Keys) == 0 {
-			return fmt.Errorf("user[%d].keys: one at least is needed", i)
+			return fmt.Errorf("user[%d].keys: at least one key is needed", i)
 		}
 	}
-	if c.Listen != "" && (len(c.hosts) == 0 || len(c.users) == 0) {
+	if c.Listen != "" && (len(c.hostSigners) == 0 || len(c.userKeys) == 0) {
 		return errors.New("listen: host_keys and a user are needed")
 	}
 	return nil
 }
 
-// access is who may log in, by the file.
-type access struct{ operateConfig }
+// access implements netconf.Access with the keys of the configuration file.
+type access struct{ netconfConfig }
 
-// HostKeys and Keys implement netconf.Access.
-func (a access) HostKeys() []ssh.Signer           { return a.hosts }
-func (a access) Keys(user string) []ssh.PublicKey { return a.users[user] }
+// HostKeys implements netconf.Access, as does Keys.
+func (a access) HostKeys() []ssh.Signer           { return a.hostSigners }
+func (a access) Keys(user string) []ssh.PublicKey { return a.userKeys[user] }
 
-// placement joins the exchanges that the platform lists with those that operators have set, for the links and the
-// module.
-type placement struct {
+// exchangeTable merges the exchanges of the membership list with those that operators have configured, and passes the
+// result to the links, the decision module and the engine.
+type exchangeTable struct {
 	links  *trunks
 	merge  *directory.Merge
 	here   int
 	engine *core.Engine
 	now    func() time.Duration // on the engine's clock
 
-	mu     sync.Mutex
-	placer intent.Placer
-	listed directory.List
-	groups []intent.Group
-	own    bool // cores that only operators have set are known
-	words  map[int]intent.Word
-	again  time.Duration
-	events [][][2]string              // not yet told
-	event  func(string, ...[2]string) // nil while nobody can be told
-	drains func(map[string]string)    // told what drains by the list's word, without the lock
+	mu            sync.Mutex
+	placer        intent.Placer
+	listed        directory.List
+	groups        []intent.Group
+	hasConfigured bool // cores that only operators have configured were passed on
+	statuses      map[int]intent.Word
+	nextUpdate    time.Duration
+	pendingEvents [][][2]string              // to be sent by sendEvents
+	notify        func(string, ...[2]string) // sends an event to the subscribers; nil until NETCONF is open
+	onDraining    func(map[string]string)    // receives the result of draining after each list; called without the lock
 }
 
-// told takes the name service's list.
-func (p *placement) told(l directory.List, kind brookmux.ListKind) {
-	p.mu.Lock()
-	p.listed = l
-	p.place(kind)
-	drains := p.drains
-	p.mu.Unlock()
-	p.tell()
-	if drains != nil {
-		drains(p.draining())
+// setListed replaces the membership list.
+func (t *exchangeTable) setListed(l directory.List, kind brookmux.ListKind) {
+	t.mu.Lock()
+	t.listed = l
+	t.update(kind)
+	onDraining := t.onDraining
+	t.mu.Unlock()
+	t.sendEvents()
+	if onDraining != nil {
+		onDraining(t.draining())
 	}
 }
 
-// tell hands on what has changed of exchanges, without the lock.
-func (p *placement) tell() {
-	p.mu.Lock()
-	events, event := p.events, p.event
-	p.events = nil
-	p.mu.Unlock()
-	for _, e := range events {
-		if event != nil {
-			event("exchange-state-change", e...)
+// sendEvents sends the pending exchange-state-change events. The lock must not be held.
+func (t *exchangeTable) sendEvents() {
+	t.mu.Lock()
+	pendingEvents, notify := t.pendingEvents, t.notify
+	t.pendingEvents = nil
+	t.mu.Unlock()
+	for _, e := range pendingEvents {
+		if notify != nil {
+			notify("exchange-state-change", e...)
 		}
 	}
 }
 
-// draining are the exchanges that have been told to drain, or that they are gone.
-func (p *placement) draining() map[string]string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// draining returns the exchanges that the membership list reports as draining or gone, by number.
+func (t *exchangeTable) draining() map[string]string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	out := map[string]string{}
-	for n, w := range p.words {
+	for n, w := range t.statuses {
 		if w.Told == "draining" || w.Told == "gone" {
 			out[fmt.Sprint(n)] = w.Told
 		}
@@ -191,131 +193,135 @@
 	return out
 }
 
-// place hands on what is known by now. The lock is held.
-func (p *placement) place(kind brookmux.ListKind) {
-	all, own, words, again := p.placer.Place(p.now(), p.listed.Switches())
-	for _, n := range slices.Sorted(maps.Keys(words)) {
-		if w := words[n]; p.words != nil && p.words[n] != w {
-			p.events = append(p.events, [][2]string{{"number", fmt.Sprint(n)}, {"told", w.Told}, {"origin", string(w.Origin)}})
+// update merges both sources, records an event for each exchange whose status changed, and passes the cores, the lists
+// and the sizes of the configured circuit groups on. The lock must be held.
+func (t *exchangeTable) update(kind brookmux.ListKind) {
+	all, configured, statuses, nextUpdate := t.placer.Place(t.now(), t.listed.Switches())
+	for _, n := range slices.Sorted(maps.Keys(statuses)) {
+		if w := statuses[n]; t.statuses != nil && t.statuses[n] != w {
+			t.pendingEvents = append(t.pendingEvents, [][2]string{{"number", fmt.Sprint(n)}, {"told", w.Told},
+				{"origin", string(w.Origin)}})
 		}
 	}
-	for _, n := range slices.Sorted(maps.Keys(p.words)) {
-		if _, ok := words[n]; !ok {
-			p.events = append(p.events, [][2]string{{"number", fmt.Sprint(n)}, {"told", "gone"}})
+	for _, n := range slices.Sorted(maps.Keys(t.statuses)) {
+		if _, ok := statuses[n]; !ok {
+			t.pendingEvents = append(t.pendingEvents, [][2]string{{"number", fmt.Sprint(n)}, {"told", "gone"}})
 		}
 	}
-	p.words, p.again = words, again
-	to := cores(p.listed, p.here)
+	t.statuses, t.nextUpdate = statuses, nextUpdate
+	to := cores(t.listed, t.here)
 	var switches []brookmux.Switch
-	for _, c := range own {
-		if c.Number != p.here {
+	for _, c := range configured {
+		if c.Number != t.here {
 			to = append(to, corelink.Core{ID: c.ID, Addr: c.Address, Since: c.Since, Draining: c.State == brookmux.Draining})
 		}
 		switches = append(switches, c.Switch)
 	}
-	p.links.Update(to)
-	p.merge.Set("names", kind, all)
-	if len(own) > 0 || p.own {
-		p.own = len(own) > 0
-		p.merge.Set("config", brookmux.Full, switches)
+	t.links.Update(to)
+	t.merge.Set("names", kind, all)
+	if len(configured) > 0 || t.hasConfigured {
+		t.hasConfigured = len(configured) > 0
+		t.merge.Set("config", brookmux.Full, switches)
 	}
-	for _, g := range p.groups {
+	for _, g := range t.groups {
 		r := settings.NoReport()
 		r.Size = g.Size
 		for _, s := range append(all[:len(all):len(all)], switches...) {
 			if s.Number == g.Number {
-				p.engine.Reported(s.ID, r, true)
+				t.engine.Reported(s.ID, r, true)
 			}
 		}
 	}
 }
 
-// want takes what operators have set.
-func (p *placement) want(list []intent.Exchange, groups []intent.Group, start bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.placer.Want(p.now(), list, start)
-	p.groups = groups
-	p.place(brookmux.Full)
+// setConfigured replaces the exchanges and circuit groups that operators have configured; start marks the first call.
+func (t *exchangeTable) setConfigured(list []intent.Exchange, groups []intent.Group, start bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.placer.Want(t.now(), list, start)
+	t.groups = groups
+	t.update(brookmux.Full)
 }
 
-// tick lets what lingers go when it is time.
-func (p *placement) tick() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.again > 0 && p.now() >= p.again {
-		p.place(brookmux.Full)
+// tick drops removed exchanges whose time to linger is over.
+func (t *exchangeTable) tick() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.nextUpdate > 0 && t.now() >= t.nextUpdate {
+		t.update(brookmux.Full)
 	}
 }
 
-// stormEvents tells of each scope whose state is another than it was last.
-func stormEvents(was map[storm.Scope]storm.State, s *core.Storm, event func(string, ...[2]string)) map[storm.Scope]storm.State {
+// stormEvents sends an event for each scope whose storm state differs from the previous report, and returns the current
+// states. It returns nil if storm control is off.
+func stormEvents(previous map[storm.Scope]storm.State, s *core.Storm,
+	notify func(string, ...[2]string)) map[storm.Scope]storm.State {
 	if s == nil {
 		return nil
 	}
-	now := map[storm.Scope]storm.State{}
+	current := map[storm.Scope]storm.State{}
 	for _, x := range s.Scopes {
-		if now[x.Scope] = x.State; was[x.Scope] != x.State { // none is as calm
-			event("storm-state-change", [2]string{"kind", x.Scope.Kind}, [2]string{"name", x.Scope.Name}, [2]string{"state", x.State.String()})
+		if current[x.Scope] = x.State; previous[x.Scope] != x.State { // a missing state equals calm
+			notify("storm-state-change", [2]string{"kind", x.Scope.Kind}, [2]string{"name", x.Scope.Name}, [2]string{"state", x.State.String()})
 		}
 	}
-	return now
+	return current
 }
 
-// state adds what is seen of the exchanges to a tree.
-func (p *placement) state(tree *schema.Node) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for n, w := range p.words {
-		at := fmt.Sprintf("/exchanges/exchange[number='%d']/state/", n)
-		_ = tree.Put(schema.Item{Path: at + "origin", Value: string(w.Origin)}) // the model has them, see the tests
+// addState adds the operational state of the exchanges to a tree.
+func (t *exchangeTable) addState(tree *schema.Node) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for n, w := range t.statuses {
+		prefix := fmt.Sprintf("/exchanges/exchange[number='%d']/state/", n)
+		_ = tree.Put(schema.Item{Path: prefix + "origin", Value: string(w.Origin)}) // in the model, see the tests
 		if w.Told != "" {
-			_ = tree.Put(schema.Item{Path: at + "told", Value: w.Told})
+			_ = tree.Put(schema.Item{Path: prefix + "told", Value: w.Told})
 		}
 	}
 }
 
-// overlay puts what operators have set over the platform's settings, whichever of the two is new.
+// overlay applies the operators' configuration over the platform's settings whenever either changes.
 type overlay struct {
-	engine *core.Engine
-	front  *sipfront.Front
-	most   func(int) // calls open at a time
-
-	mu       sync.Mutex
-	tree     *schema.Node // with defaults; nil while nothing is set
-	settings settings.Settings
-	bytes    int64
-	callers  int
+	engine     *core.Engine
+	front      *sipfront.Front
+	setMaxOpen func(int) // sets the limit on calls open at a time
+
+	mu         sync.Mutex
+	tree       *schema.Node // the operators' configuration with defaults; nil before the first
+	settings   settings.Settings
+	maxBytes   int64
+	maxCallers int
 }
 
-// platform takes the platform's settings, or returns an error and changes nothing.
-func (o *overlay) platform(s settings.Settings, bytes int64, callers int) error {
+// setPlatform replaces the platform's settings and limits, or returns an error and changes nothing.
+func (o *overlay) setPlatform(s settings.Settings, maxBytes int64, maxCallers int) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if err := o.force(s, bytes, callers, o.tree); err != nil {
+	if err := o.apply(s, maxBytes, maxCallers, o.tree); err != nil {
 		return err
 	}
-	o.settings, o.bytes, o.callers = s, bytes, callers
+	o.settings, o.maxBytes, o.maxCallers = s, maxBytes, maxCallers
 	return nil
 }
 
-// set takes what operators have set, or returns an error and changes nothing.
-func (o *overlay) set(tree *schema.Node) error {
+// setConfigured replaces the operators' configuration, or returns an error and changes nothing.
+func (o *overlay) setConfigured(tree *schema.Node) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.tree != nil && same(o.tree, tree, "classes", "limits") {
-		return nil // the core's settings are not put in force anew for a change elsewhere
+	if o.tree != nil && equalUnder(o.tree, tree, "classes", "limits") {
+		return nil // a change elsewhere does not concern the engine's settings
 	}
-	if err := o.force(o.settings, o.bytes, o.callers, tree); err != nil {
+	if err := o.apply(o.settings, o.maxBytes, o.maxCallers, tree); err != nil {
 		return err
 	}
 	o.tree = tree
 	return nil
 }
 
-// same tells whether two trees agree in what stands under some nodes at the top.
-func same(a, b *schema.Node, tops ...string) bool {
-	for _, name := range tops {
+// equalUnder reports whether two trees are equal under the named top-level nodes.
+func equalUnder(a, b *schema.Node, names ...string) bool {
+	for _, name := range names {
 		x, y := a.Get(name), b.Get(name)
 		if (x == nil) != (y == nil) || x != nil && len(schema.Diff(x, y)) > 0 {
 			return false
@@ -324,39 +330,40 @@
 	return true
 }
 
-// force puts both in force. The lock is held.
-func (o *overlay) force(s settings.Settings, bytes int64, callers int, tree *schema.Node) (err error) {
+// apply applies the settings with the configuration over them to the engine and the front. The lock must be held.
+func (o *overlay) apply(s settings.Settings, maxBytes int64, maxCallers int, tree *schema.Node) (err error) {
 	if tree != nil {
 		if s, err = intent.Settings(s, tree); err != nil {
 			return err
 		}
-		callers = intent.Callers(tree, callers)
+		maxCallers = intent.Callers(tree, maxCallers)
 	}
-	if err := o.engine.Configure(s, bytes); err != nil {
+	if err := o.engine.Configure(s, maxBytes); err != nil {
 		return err
 	}
-	o.front.SetMost(callers)
-	o.most(s.MostHeld)
+	o.front.SetMost(maxCallers)
+	o.setMaxOpen(s.MostHeld)
 	return nil
 }
 
-// settingsPart and exchangesPart let the configuration take effect.
+// settingsPart applies a committed configuration's classes and limits.
 type settingsPart struct{ *overlay }
 
-// Name and Apply implement transact.Part.
+// Name implements transact.Part, as does Apply.
 func (settingsPart) Name() string { return "settings" }
 
 func (p settingsPart) Apply(_ uint64, running *schema.Node, _ []schema.Change) error {
-	return p.set(schema.WithDefaults(running))
+	return p.setConfigured(schema.WithDefaults(running))
 }
 
+// exchangesPart applies a committed configuration's exchanges and circuit groups.
 type exchangesPart struct {
-	*placement
+	*exchangeTable
 	zones   []string
 	started bool
 }
 
-// Name and Apply implement transact.Part.
+// Name implements transact.Part, as does Apply.
 func (*exchangesPart) Name() string { return "exchanges" }
 
 func (p *exchangesPart) Apply(_ uint64, running *schema.Node, _ []schema.Change) error {
@@ -370,35 +377,36 @@
 		planned[x.Number] = x.Planned
 	}
 	p.engine.SetPlanned(planned)
-	p.want(list, intent.Groups(tree, p.here), !p.started)
+	p.setConfigured(list, intent.Groups(tree, p.here), !p.started)
 	p.started = true
 	return nil
 }
 
-// atStart refuses what is read at the start only, from files of its own.
-func atStart(_, next *schema.Node) (faults []schema.Fault) {
+// rejectStartOnly is a datastore guard. It rejects the settings that are read only at start, from files of their own.
+func rejectStartOnly(_, next *schema.Node) (faults []schema.Fault) {
 	for node, file := range map[string]string{"storm": "deploy/storm.toml", "m3ua": "deploy/m3ua.toml"} {
 		if n := next.Get(node); n != nil && (n.Len() > 0 || n.Def.Presence) {
 			faults = append(faults, schema.Fault{Tag: schema.OperationUnknown, Path: n.Path(),
-				Message: "it is read at the start only, from " + file})
+				Message: "this is read only at start, from " + file})
 		}
 	}
 	return faults
 }
 
-// operator is what operators change the program with while it runs.
+// operator is the transactional configuration with its NETCONF and gNMI access.
 type operator struct {
-	owner  *transact.Owner
-	server *netconf.Server
-	gnmi   *mgmt.Owned
-	model  *schema.Model
-	all    map[string]bool // recovery users
-	log    *slog.Logger
+	owner         *transact.Owner
+	server        *netconf.Server
+	gnmi          *mgmt.Owned
+	model         *schema.Model
+	recoveryUsers map[string]bool // by name
+	log           *slog.Logger
 }
 
-// openOperator opens the journal, lets what it holds take effect and serves NETCONF, as the file says.
-func openOperator(ctx context.Context, c operateConfig, place *placement, over *overlay, m *manager, zones []string,
-	failed chan<- error) (*operator, error) {
+// openOperator opens the journal, applies the configuration it holds and starts the NETCONF listener. It returns nil if
+// the file disables it. Errors of the listener go to failed.
+func openOperator(ctx context.Context, c netconfConfig, table *exchangeTable, settingsOverlay *overlay, m *manager,
+	zones []string, failed chan<- error) (*operator, error) {
 	log := m.log
 	if !c.Enabled {
 		return nil, nil
@@ -407,30 +415,31 @@
 	if err != nil {
 		return nil, err
 	}
-	o := &operator{log: log, model: model, all: c.all}
+	o := &operator{log: log, model: model, recoveryUsers: c.recoveryUsers}
 	drains := &datastore.Drains{}
-	drains.Told(place.draining())
-	conf := transact.Config{Store: datastore.Config{Model: model, Keep: c.Keep, Sessions: mostSessions,
-		Guards: []datastore.Guard{drains.Guard, atStart, nacm.Check},
+	drains.Told(table.draining())
+	conf := transact.Config{Store: datastore.Config{Model: model, Keep: c.Keep, Sessions: maxSessions,
+		Guards: []datastore.Guard{drains.Guard, rejectStartOnly, nacm.Check},
 		Access: func(who datastore.Session, running, old, next *schema.Node, changes []schema.Change) []schema.Fault {
-			if c.all[who.User] {
+			if c.recoveryUsers[who.User] {
 				return nil
 			}
 			return nacm.Of(running).Changes(who.User, old, next, changes)
 		}}, Now: time.Now, Log: log,
-		Parts: []transact.Part{settingsPart{over}, managerPart{m}, &exchangesPart{placement: place, zones: zones}},
+		Parts: []transact.Part{settingsPart{settingsOverlay}, managerPart{m},
+			&exchangesPart{exchangeTable: table, zones: zones}},
 		Told: func(e transact.Event) {
 			if o.server != nil {
 				o.server.Told(e)
 			}
 		}}
 	if c.Journal != "" {
-		j, kept, err := journal.Open(vfs.Default, c.Journal, log)
+		j, records, err := journal.Open(vfs.Default, c.Journal, log)
 		if err != nil {
 			return nil, err
 		}
-		conf.Journal, conf.Kept = j, kept
-		log.Info("journal", "folder", c.Journal, "records", len(kept))
+		conf.Journal, conf.Kept = j, records
+		log.Info("journal", "folder", c.Journal, "records", len(records))
 	}
 	if o.owner, err = transact.New(conf); err != nil {
 		if conf.Journal != nil {
@@ -438,24 +447,24 @@
 		}
 		return nil, err
 	}
-	place.mu.Lock()
-	place.drains = func(list map[string]string) {
-		_ = o.owner.Do(func(*datastore.Store) error { drains.Told(list); return nil }) // it can't fail
+	table.mu.Lock()
+	table.onDraining = func(list map[string]string) {
+		_ = o.owner.Do(func(*datastore.Store) error { drains.Told(list); return nil }) // can't fail
 	}
-	place.mu.Unlock()
-	place.drains(place.draining()) // what came in between
-	o.gnmi = mgmt.NewOwned(o.owner, place.state, func() map[string]string {
+	table.mu.Unlock()
+	table.onDraining(table.draining()) // lists may have arrived since drains was filled
+	o.gnmi = mgmt.NewOwned(o.owner, table.addState, func() map[string]string {
 		set, _ := m.store.List("/border-control/controllers/")
 		return set
 	}, o.rules)
-	o.server = netconf.NewServer(netconf.Config{Owner: o.owner, Model: model, State: place.state, Now: time.Now, Log: log, Rules: o.rules})
-	place.mu.Lock()
-	place.event = o.server.Event
-	place.mu.Unlock()
+	o.server = netconf.NewServer(netconf.Config{Owner: o.owner, Model: model, State: table.addState, Now: time.Now, Log: log, Rules: o.rules})
+	table.mu.Lock()
+	table.notify = o.server.Event
+	table.mu.Unlock()
 	m.mu.Lock()
-	m.event = o.server.Event
+	m.notify = o.server.Event
 	m.mu.Unlock()
-	go o.tick(ctx, place)
+	go o.runPeriodic(ctx, table)
 	if c.Listen == "" {
 		return o, nil
 	}
@@ -472,9 +481,9 @@
 	return o, nil
 }
 
-// rules are those that hold for a user now, nil for one who may do everything.
+// rules returns the access control rules of the running configuration for a user, nil for a recovery user.
 func (o *operator) rules(user string) (r *nacm.Rules) {
-	if o.all[user] {
+	if o.recoveryUsers[user] {
 		return nil
 	}
 	o.owner.Look(func(s *datastore.Store) {
@@ -485,9 +494,10 @@
 	return r
 }
 
-// tick takes back what was not confirmed in time, and lets go what lingered.
-func (o *operator) tick(ctx context.Context, place *placement) {
-	t := time.NewTicker(operateEvery)
+// runPeriodic cancels commits that were not confirmed in time, drops exchanges whose time to linger is over, and sends
+// pending events, until the context ends.
+func (o *operator) runPeriodic(ctx context.Context, table *exchangeTable) {
+	t := time.NewTicker(operatorInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -495,8 +505,8 @@
 			return
 		case <-t.C:
 			o.owner.Tick()
-			place.tick()
-			place.tell()
+			table.tick()
+			table.sendEvents()
 			o.gnmi.Poll()
 		}
 	}
--- a/cmd/brookmux/operate_test.go
+++ b/cmd/brookmux/operate_test.go
@@ -41,40 +41,40 @@
 	"brookmux/yang"
 )
 
-// output is a program's log, which a test waits on.
+// output collects a program's log and lets a test wait for lines.
 type output struct {
-	mu   sync.Mutex
-	text bytes.Buffer
-	more chan struct{} // closed with each line
+	mu      sync.Mutex
+	text    bytes.Buffer
+	written chan struct{} // closed and replaced at each write
 }
 
 func (o *output) Write(b []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	close(o.more)
-	o.more = make(chan struct{})
+	close(o.written)
+	o.written = make(chan struct{})
 	return o.text.Write(b)
 }
 
-// await returns the first match of a pattern's group.
+// await waits until a pattern matches the log and returns its last group; it fails the test after 20 s.
 func (o *output) await(t *testing.T, pattern string) string {
-	re, late := regexp.MustCompile(pattern), time.After(20*time.Second)
+	re, timeout := regexp.MustCompile(pattern), time.After(20*time.Second)
 	for {
 		o.mu.Lock()
-		m, more := re.FindStringSubmatch(o.text.String()), o.more
+		m, written := re.FindStringSubmatch(o.text.String()), o.written
 		o.mu.Unlock()
 		if m != nil {
 			return m[len(m)-1]
 		}
 		select {
-		case <-more:
-		case <-late:
-			t.Fatalf("the log never had %s:\n%s", pattern, o.text.String())
+		case <-written:
+		case <-timeout:
+			t.Fatalf("the log does not contain %s:\n%s", pattern, o.text.String())
 		}
 	}
 }
 
-// keyFile makes a key and returns it as authorized_keys has it, with the file of its private part.
+// keyFile creates a key pair and returns the public key in authorized_keys format and the file of the private key.
 func keyFile(t *testing.T) (string, string) {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	require.NoError(t, err)
@@ -87,21 +87,21 @@
 	return strings.TrimSpace(string(ssh.MarshalAuthorizedKey(k))), path
 }
 
-// site is a program with the cores of a deployment, of which operators change the rest.
+// site is a program under test with its files; operators change its configuration.
 type site struct {
 	t       *testing.T
 	env     map[string]string
 	key     string
-	host    string // file with the key that the program shows itself by
+	host    string // file with the program's host key
 	journal string
 	out     *output
 	process playback.Process
 	sip     string
 }
 
-// newSite writes the files of a program whose list has these cores, for exchanges 1 and on.
+// newSite writes the files of a program whose membership list holds these cores, as exchanges 1, 2 and so on.
 func newSite(t *testing.T, cores []*loopback.Core) *site {
-	names, err := net.ListenPacket("udp", "127.0.0.1:0") // it never answers: the list of the start stands
+	names, err := net.ListenPacket("udp", "127.0.0.1:0") // never answers: the list from the start stays in force
 	require.NoError(t, err)
 	t.Cleanup(func() { names.Close() })
 	var members []string
@@ -130,20 +130,20 @@
 	return s
 }
 
-// start starts the program.
+// start starts the program and waits until its SIP front listens.
 func (s *site) start() {
-	s.out = &output{more: make(chan struct{})}
+	s.out = &output{written: make(chan struct{})}
 	s.process = inProcess(s.t, s.env, s.out)
 	s.sip = s.out.await(s.t, `msg="sip listens".* address=(\S+)`)
 }
 
-// stop ends it as the platform does.
+// stop ends the program with SIGTERM, as the platform does, and requires a clean exit.
 func (s *site) stop() {
 	s.process.Signal(syscall.SIGTERM)
 	require.NoError(s.t, s.process.Wait(), "%s", s.out.text.String())
 }
 
-// operator opens a NETCONF session, with a client that is not ours.
+// operator opens a NETCONF session with a third-party client.
 func (s *site) operator() *netconf.Driver {
 	host, port, err := net.SplitHostPort(s.out.await(s.t, `msg="netconf listens".* address=(\S+)`))
 	require.NoError(s.t, err)
@@ -165,8 +165,8 @@
 	return key
 }
 
-// heard waits until a subscriber has been told something; what was told before is told again.
-func (s *site) heard(want string) {
+// awaitEvent waits until a subscriber receives an event; it includes events of the past hour.
+func (s *site) awaitEvent(want string) {
 	m, err := schema.Load(yang.Files)
 	require.NoError(s.t, err)
 	key, host := s.signer(s.key), s.signer(s.host)
@@ -176,19 +176,20 @@
 	defer c.Close()
 	found := errors.New("found")
 	require.ErrorIs(s.t, c.Watch(time.Now().Add(-time.Hour), func(_ string, e *etree.Element) error {
-		words := []string{e.Tag}
+		fields := []string{e.Tag}
 		for _, x := range e.ChildElements() {
-			words = append(words, x.Tag+"="+x.Text())
+			fields = append(fields, x.Tag+"="+x.Text())
 		}
-		if strings.Join(words, " ") == want {
+		if strings.Join(fields, " ") == want {
 			return found
 		}
 		return nil
 	}), found)
 }
 
-// TestChangesMeet: a commit stands beside the platform's own changes. A new platform file whose classes the commit does
-// not fit is refused; one that comes with a commit, and a commit while the program drains, leave all of it or nothing.
+// TestChangesMeet: commits and reloads of the platform's file at the same time. A new platform file whose classes don't
+// fit the committed configuration is rejected. A commit during a reload, and one while the program drains, take effect
+// as a whole or not at all.
 func TestChangesMeet(t *testing.T) {
 	t.Parallel()
 	core, err := loopback.NewCore(100, time.Second)
@@ -204,62 +205,62 @@
 		require.NoError(t, os.WriteFile(s.env["GW_CONFIG"], []byte(strings.ReplaceAll(string(text), old, new)), 0o600))
 		s.process.Signal(syscall.SIGHUP)
 	}
-	both := func(wait int) string {
+	classAndLimit := func(wait int) string {
 		return fmt.Sprintf(`<config><classes xmlns="urn:brookmux:classes"><class><name>page</name><aim>%d</aim><deadline>9000</deadline><worth>1</worth></class></classes>`+
 			`<limits xmlns="urn:brookmux:limits"><max-wait>%d</max-wait></limits></config>`, wait, wait)
 	}
-	s.done(d.EditConfig("running", both(1000)))
+	s.requireOK(d.EditConfig("running", classAndLimit(1000)))
 	rewrite(`"name":"page"`, `"name":"other"`)
 	s.out.await(t, `configuration not replaced.*the platform has no class of this name`)
 	rewrite(`"name":"other"`, `"name":"page"`)
 	s.out.await(t, `configuration replaced`)
 	rewrite(`"maxRetryAfterMs":2000`, `"maxRetryAfterMs":1500`)
-	s.done(d.EditConfig("running", both(1100)))
+	s.requireOK(d.EditConfig("running", classAndLimit(1100)))
 	s.out.await(t, `(?s)configuration replaced.*configuration replaced`)
 
 	s.process.Signal(syscall.SIGTERM)
 	s.out.await(t, `to=draining`)
-	acked := 1100
-	if r, err := d.EditConfig("running", both(1200)); err == nil && r.Failed == nil {
-		acked = 1200
+	minWait := 1100
+	if r, err := d.EditConfig("running", classAndLimit(1200)); err == nil && r.Failed == nil {
+		minWait = 1200
 	}
-	_ = d.Close() // it may have ended with the program
+	_ = d.Close() // the session may have ended with the program
 	require.NoError(t, s.process.Wait())
 	s.start()
 	d = s.operator()
-	got := s.done(d.GetConfig("running"))
+	got := s.requireOK(d.GetConfig("running"))
 	wait := regexp.MustCompile(`<max-wait>(\d+)<`).FindStringSubmatch(got)
 	require.NotNil(t, wait)
 	require.Contains(t, got, "<aim>"+wait[1]+"</aim>")
 	n, err := strconv.Atoi(wait[1])
 	require.NoError(t, err)
-	require.GreaterOrEqual(t, n, acked, "what was acknowledged is there")
+	require.GreaterOrEqual(t, n, minWait, "the acknowledged commit is lost")
 	require.NoError(t, d.Close())
 	s.stop()
 }
 
-// TestStormEvents: each change of a scope's state is told once.
+// TestStormEvents: each change of a scope's state is sent once.
 func TestStormEvents(t *testing.T) {
 	all, page := storm.Scope{Kind: "all"}, storm.Scope{Kind: "class", Name: "page"}
-	var told []string
-	event := func(name string, leaves ...[2]string) { told = append(told, fmt.Sprint(name, leaves)) }
+	var events []string
+	notify := func(name string, leaves ...[2]string) { events = append(events, fmt.Sprint(name, leaves)) }
 	var states map[storm.Scope]storm.State
 	for _, s := range []storm.State{storm.Calm, storm.Rising, storm.Rising, storm.Calm} {
-		states = stormEvents(states, &core.Storm{Scopes: []storm.Status{{Scope: all, State: s}, {Scope: page}}}, event)
+		states = stormEvents(states, &core.Storm{Scopes: []storm.Status{{Scope: all, State: s}, {Scope: page}}}, notify)
 	}
-	require.Equal(t, []string{"storm-state-change[[kind all] [name ] [state rising]]", "storm-state-change[[kind all] [name ] [state calm]]"}, told)
-	require.Nil(t, stormEvents(states, nil, event))
+	require.Equal(t, []string{"storm-state-change[[kind all] [name ] [state rising]]", "storm-state-change[[kind all] [name ] [state calm]]"}, events)
+	require.Nil(t, stormEvents(states, nil, notify))
 }
 
-// done checks that an operation was carried out.
-func (s *site) done(r *response.NetconfResponse, err error) string {
+// requireOK requires that an operation succeeded and returns its result.
+func (s *site) requireOK(r *response.NetconfResponse, err error) string {
 	require.NoError(s.t, err)
 	require.NoError(s.t, r.Failed)
 	return r.Result
 }
 
-// exchanges is a configuration of some.
-func exchanges(addr map[int]string) string {
+// exchangesConfig returns the configuration of exchanges with these addresses.
+func exchangesConfig(addr map[int]string) string {
 	out := `<exchanges xmlns="urn:brookmux:exchanges">`
 	for n, a := range addr {
 		out += fmt.Sprintf("<exchange><number>%d</number><address>%s</address><zone>east</zone>"+
@@ -268,9 +269,9 @@
 	return out + "</exchanges>"
 }
 
-// TestSevenToNine: while calls come, an operator raises the exchanges from seven (the own one and six) to nine and
-// changes a group: the new ones serve calls, every call gets its answer, and the program says the same after it has started again. A
-// group with an end that is not there, and a zone that the platform does not have, change nothing.
+// TestSevenToNine: while calls arrive, an operator raises the exchanges from seven (the local one and six) to nine and
+// changes a circuit group. The new exchanges serve calls, every call gets an answer, and the configuration is the same
+// after a restart. A group with an end that does not exist, and a zone that the platform does not have, change nothing.
 func TestSevenToNine(t *testing.T) {
 	t.Parallel()
 	var cores []*loopback.Core
@@ -292,22 +293,22 @@
 	}
 	old := load(ctx, 1, 1, 2, 3, 4, 5, 6)
 	d := s.operator()
-	change := "<config>" + exchanges(map[int]string{1: cores[0].Addr(), 7: cores[6].Addr(), 8: cores[7].Addr()}) +
+	change := "<config>" + exchangesConfig(map[int]string{1: cores[0].Addr(), 7: cores[6].Addr(), 8: cores[7].Addr()}) +
 		`<circuit-groups xmlns="urn:brookmux:circuits"><group><a>7</a><b>8</b><size>30</size></group></circuit-groups></config>`
 	r, err := d.EditConfig("candidate", strings.ReplaceAll(change, "<b>8<", "<b>9<"))
 	require.NoError(t, err)
 	require.ErrorContains(t, r.Failed, "instance-required")
-	s.done(d.EditConfig("candidate", strings.ReplaceAll(change, "east", "west")))
+	s.requireOK(d.EditConfig("candidate", strings.ReplaceAll(change, "east", "west")))
 	r, err = d.Commit()
 	require.NoError(t, err)
 	require.ErrorContains(t, r.Failed, "none of the platform")
-	s.done(d.Discard())
-	require.NotContains(t, s.done(d.GetConfig("running")), "<zone>", "it was taken back")
+	s.requireOK(d.Discard())
+	require.NotContains(t, s.requireOK(d.GetConfig("running")), "<zone>", "the failed commit was reverted")
 
-	s.done(d.EditConfig("candidate", change))
-	s.done(d.Validate("candidate"))
-	s.done(d.Commit(opoptions.WithCommitConfirmed()))
-	for i := range 2 { // both serve calls before the change is confirmed
+	s.requireOK(d.EditConfig("candidate", change))
+	s.requireOK(d.Validate("candidate"))
+	s.requireOK(d.Commit(opoptions.WithCommitConfirmed()))
+	for i := range 2 { // both new exchanges serve calls before the change is confirmed
 		for stood := false; !stood; {
 			short, end := context.WithTimeout(t.Context(), 200*time.Millisecond)
 			for _, c := range <-load(short, uint64(10+i), 7+i) {
@@ -316,17 +317,17 @@
 			end()
 		}
 	}
-	s.done(d.Commit())
-	got := s.done(d.Get(""))
+	s.requireOK(d.Commit())
+	got := s.requireOK(d.Get(""))
 	for n, want := range map[int]string{2: "learned", 7: "intended", 8: "intended"} {
 		require.Regexp(t, fmt.Sprintf(`(?s)<number>%d</number>.*?<state>.*?<origin>%s</origin>`, n, want), got)
 	}
-	both := load(ctx, 2, 1, 2, 3, 4, 5, 6, 7, 8)
+	all := load(ctx, 2, 1, 2, 3, 4, 5, 6, 7, 8)
 	for cores[6].Asked() < 20 || cores[7].Asked() < 20 {
-		time.Sleep(10 * time.Millisecond) // calls come all the while
+		time.Sleep(10 * time.Millisecond) // calls arrive meanwhile
 	}
 	cancel()
-	for _, calls := range [][]*loopback.Call{<-old, <-both} {
+	for _, calls := range [][]*loopback.Call{<-old, <-all} {
 		require.NotEmpty(t, calls)
 		stood := 0
 		for _, c := range calls {
@@ -335,34 +336,34 @@
 				stood++
 			}
 		}
-		// All of them, on a machine that has time for it: what is turned away on a busy one is answered at once.
+		// All of them on an idle machine; on a busy one, some calls are rejected, with an immediate answer.
 		t.Logf("%d of %d calls stood", stood, len(calls))
 		require.Greater(t, stood, len(calls)/2)
 	}
 	require.NoError(t, d.Close())
-	s.heard(`exchange-state-change number=8 origin=intended`)
+	s.awaitEvent(`exchange-state-change number=8 origin=intended`)
 	s.stop()
 
 	s.start()
 	d = s.operator()
-	require.Contains(t, s.done(d.GetConfig("running")), cores[7].Addr())
-	// The same over gNMI: each sees what the other has set, and its locks.
+	require.Contains(t, s.requireOK(d.GetConfig("running")), cores[7].Addr())
+	// The same over gNMI: each interface sees the other's changes and locks.
 	conn, err := grpc.NewClient(s.out.await(t, `msg="gnmi listens".* address=(\S+)`), grpc.WithTransportCredentials(insecure.NewCredentials()))
 	require.NoError(t, err)
 	defer conn.Close()
 	g := gnmi.NewGNMIClient(conn)
-	size := &gnmi.Path{Elem: []*gnmi.PathElem{{Name: "circuit-groups"}, {Name: "group", Key: map[string]string{"a": "7", "b": "8"}}, {Name: "size"}}}
-	state, err := g.Get(t.Context(), &gnmi.GetRequest{Path: []*gnmi.Path{size}, Encoding: gnmi.Encoding_JSON_IETF})
+	sizePath := &gnmi.Path{Elem: []*gnmi.PathElem{{Name: "circuit-groups"}, {Name: "group", Key: map[string]string{"a": "7", "b": "8"}}, {Name: "size"}}}
+	state, err := g.Get(t.Context(), &gnmi.GetRequest{Path: []*gnmi.Path{sizePath}, Encoding: gnmi.Encoding_JSON_IETF})
 	require.NoError(t, err)
 	require.Equal(t, "30", string(state.Notification[0].Update[0].Val.GetJsonIetfVal()))
-	set := &gnmi.SetRequest{Update: []*gnmi.Update{{Path: size, Val: &gnmi.TypedValue{Value: &gnmi.TypedValue_UintVal{UintVal: 44}}}}}
-	s.done(d.Lock("running"))
+	set := &gnmi.SetRequest{Update: []*gnmi.Update{{Path: sizePath, Val: &gnmi.TypedValue{Value: &gnmi.TypedValue_UintVal{UintVal: 44}}}}}
+	s.requireOK(d.Lock("running"))
 	_, err = g.Set(t.Context(), set)
 	require.Equal(t, codes.FailedPrecondition, status.Code(err))
-	s.done(d.Unlock("running"))
+	s.requireOK(d.Unlock("running"))
 	_, err = g.Set(t.Context(), set)
 	require.NoError(t, err)
-	require.Contains(t, s.done(d.GetConfig("running")), "<size>44</size>")
+	require.Contains(t, s.requireOK(d.GetConfig("running")), "<size>44</size>")
 	for stood := false; !stood; {
 		short, end := context.WithTimeout(t.Context(), 200*time.Millisecond)
 		for _, c := range <-load(short, 20, 8) {
@@ -374,7 +375,7 @@
 	s.stop()
 }
 
-// TestSame: only what stands under the nodes named counts.
+// TestSame: equalUnder compares only the named top-level nodes.
 func TestSame(t *testing.T) {
 	m, err := schema.Load(yang.Files)
 	require.NoError(t, err)
@@ -386,17 +387,17 @@
 		return schema.WithDefaults(tree)
 	}
 	wait, zone := schema.Item{Path: "/limits/max-wait", Value: "1"}, schema.Item{Path: "/exchanges/exchange[number='1']/zone", Value: "a"}
-	require.True(t, same(build(), build(), "classes", "limits"))
-	require.True(t, same(build(wait), build(wait, zone), "classes", "limits"))
-	require.False(t, same(build(wait), build(), "classes", "limits"))
-	require.False(t, same(build(), build(wait), "classes", "limits"))
+	require.True(t, equalUnder(build(), build(), "classes", "limits"))
+	require.True(t, equalUnder(build(wait), build(wait, zone), "classes", "limits"))
+	require.False(t, equalUnder(build(wait), build(), "classes", "limits"))
+	require.False(t, equalUnder(build(), build(wait), "classes", "limits"))
 }
 
-// TestOperateFile: what can't be served in the file is named, and the program does not start.
+// TestOperateFile: a faulty field of the NETCONF file is an error that names the field.
 func TestOperateFile(t *testing.T) {
 	_, host := keyFile(t)
 	user, _ := keyFile(t)
-	for text, words := range map[string]string{
+	for text, want := range map[string]string{
 		"enabled = true\nport = 830\n":                                                                     "port",
 		"enabled = true\nkeep = 1001\n":                                                                    "keep is 1001",
 		"enabled = true\nhost_keys = [\"/none\"]\n":                                                        "host_keys[0]",
@@ -409,10 +410,10 @@
 	} {
 		path := filepath.Join(t.TempDir(), "netconf.toml")
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		if _, err := loadOperate(path); words == "" {
+		if _, err := loadNETCONF(path); want == "" {
 			require.NoError(t, err)
 		} else {
-			require.ErrorContains(t, err, words)
+			require.ErrorContains(t, err, want)
 		}
 	}
 }
--- a/cmd/brookmux/shutdown.go
+++ b/cmd/brookmux/shutdown.go
@@ -8,35 +8,35 @@
 	"brookmux/internal/sipfront"
 )
 
-// The platform kills a program that it has told to end after the longest deadline, of which it counts so much at most, and
-// a margin (protocol page, "Figures").
+// The platform kills a stopping program after the longest class deadline, of which it counts at most maxKillDeadline,
+// plus killMargin (protocol page, "Figures").
 const (
-	killCounts = 3 * time.Second
-	killMargin = 700 * time.Millisecond
+	maxKillDeadline = 3 * time.Second
+	killMargin      = 700 * time.Millisecond
 )
 
 const (
-	callersWithin = 4 * time.Second        // after a drain, callers that go on sending are answered for so long
-	coresWithin   = 300 * time.Millisecond // and releases to cores have so long to be read,
-	coresLeast    = 50 * time.Millisecond  // or, shortly before the kill, so long
+	callerShutdownTimeout  = 4 * time.Second        // time to answer callers that still send after a drain
+	coreShutdownTimeout    = 300 * time.Millisecond // time for cores to read their releases
+	minCoreShutdownTimeout = 50 * time.Millisecond  // the same, shortly before the kill
 )
 
-// killAfter is how long after it was told to end the program may be killed.
-func killAfter(s settings.Settings) time.Duration {
+// killDelay returns the time from the stop signal until the platform may kill the program.
+func killDelay(s settings.Settings) time.Duration {
 	longest := time.Duration(0)
 	for _, class := range s.Module.Classes {
 		longest = max(longest, class.Deadline)
 	}
-	return min(longest, killCounts) + killMargin
+	return min(longest, maxKillDeadline) + killMargin
 }
 
-// shutDown ends the connections to callers, then those to cores, each once what was written there has been read, and logs
-// what was not. The program may be killed at a time.
-func shutDown(front *sipfront.Front, links *trunks, kill time.Time, log *slog.Logger) {
-	callers := front.Shutdown(time.Now().Add(callersWithin))
-	wait := coresWithin
-	if left := time.Until(kill); left > 0 {
-		wait = max(coresLeast, min(wait, left-coresLeast))
+// shutDown closes the connections to callers, then those to cores, each after the other end has read everything written
+// to it, and logs what was not read. killTime is the time at which the program may be killed.
+func shutDown(front *sipfront.Front, links *trunks, killTime time.Time, log *slog.Logger) {
+	callers := front.Shutdown(time.Now().Add(callerShutdownTimeout))
+	wait := coreShutdownTimeout
+	if left := time.Until(killTime); left > 0 {
+		wait = max(minCoreShutdownTimeout, min(wait, left-minCoreShutdownTimeout))
 	}
 	cores := links.Shutdown(time.Now().Add(wait))
 	log.Info("shut_down", "releases_unacknowledged", callers.Unacknowledged, "releases_without_connection", callers.Unsent,
--- a/cmd/brookmux/storm.go
+++ b/cmd/brookmux/storm.go
@@ -10,8 +10,8 @@
 	"brookmux/internal/storm"
 )
 
-// damper is what sees storms and damps them, nil where the operators' file has it off.
-func damper(c config) (*storm.Storm, error) {
+// newStorm returns the storm control, or nil if the operators' file disables it.
+func newStorm(c config) (*storm.Storm, error) {
 	if !c.storm.Enabled {
 		return nil, nil
 	}
@@ -22,8 +22,9 @@
 	return s, nil
 }
 
-// tell sets the forms in which the SIP front tells callers of a storm, and the pace of new ones.
-func tell(c config, front *sipfront.Front) error {
+// configureFront sets whether the SIP front sends Retry-After to rejected callers, and the pace at which it accepts new
+// connections. It changes nothing if storm control is disabled.
+func configureFront(c config, front *sipfront.Front) error {
 	if !c.storm.Enabled {
 		return nil
 	}
@@ -38,7 +39,8 @@
 	return nil
 }
 
-// stormOps keeps what there is to tell of storms under a path.
+// stormOps returns the operations that write the state and counters of storm control under a base path, or nil if s is
+// nil.
 func stormOps(base string, s *core.Storm) []store.Op {
 	if s == nil {
 		return nil
@@ -51,17 +53,17 @@
 	}
 	rate := func(v float64) string { return strconv.FormatFloat(v, 'f', 1, 64) }
 	for _, x := range s.Scopes {
-		at := fmt.Sprintf("scope[kind=%s][name=%s]/", x.Scope.Kind, x.Scope.Name)
-		put(at+"kind", x.Scope.Kind)
-		put(at+"name", x.Scope.Name)
-		put(at+"state", x.State.String())
-		put(at+"offered", rate(x.Offered))
-		put(at+"usual", rate(x.Usual))
-		put(at+"redials", strconv.Itoa(int(100*x.Redials+0.5)))
+		prefix := fmt.Sprintf("scope[kind=%s][name=%s]/", x.Scope.Kind, x.Scope.Name)
+		put(prefix+"kind", x.Scope.Kind)
+		put(prefix+"name", x.Scope.Name)
+		put(prefix+"state", x.State.String())
+		put(prefix+"offered", rate(x.Offered))
+		put(prefix+"usual", rate(x.Usual))
+		put(prefix+"redials", strconv.Itoa(int(100*x.Redials+0.5)))
 		if x.Scope.Kind == "exchange" {
-			put(at+"window", rate(x.Window))
-			put(at+"open", strconv.Itoa(x.Open))
-			put(at+"wait", strconv.FormatInt(x.Wait.Milliseconds(), 10))
+			put(prefix+"window", rate(x.Window))
+			put(prefix+"open", strconv.Itoa(x.Open))
+			put(prefix+"wait", strconv.FormatInt(x.Wait.Milliseconds(), 10))
 		}
 	}
 	return ops
