--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,5 @@
-// Command benchlink connects the decision module to the simulator's wire: one Controller an instance.
-// It translates words and decides nothing.
+// Command benchlink connects the decision module to the simulator's wire protocol, with one Controller for each
+// instance. It translates messages and makes no decisions.
 package main
 
 import (
@@ -20,22 +20,22 @@
 	}
 }
 
-// link holds the instances of this process and the lists that events refer to.
+// link holds the instances of this process and the inventories that FLEET events refer to by set number.
 type link struct {
-	instances map[uint32]*instance
-	lists     [256][]brookmux.Switch
-	reply     wire.Reply
+	instances   map[uint32]*instance
+	inventories [256][]brookmux.Switch
+	reply       wire.Reply
 }
 
-// instance is one Controller and its Host.
+// instance is the Host of one Controller; it writes the Controller's actions to the reply.
 type instance struct {
-	who   uint32
-	ctl   *brookmux.Controller
-	names []string
-	out   *wire.Reply
+	id          uint32
+	controller  *brookmux.Controller
+	reportNames []string
+	reply       *wire.Reply
 }
 
-// serve answers batches until a clean end of input.
+// serve answers each batch with one reply. It returns nil at a clean end of input.
 func serve(in io.Reader, out io.Writer) error {
 	l := &link{instances: map[uint32]*instance{}}
 	r, w := wire.NewReader(in), bufio.NewWriter(out)
@@ -49,7 +49,7 @@
 		}
 		l.reply.Reset()
 		for _, e := range b.Events {
-			if err := l.event(ms(b.Clock), e); err != nil {
+			if err := l.handle(ms(b.Clock), e); err != nil {
 				return err
 			}
 		}
@@ -62,11 +62,11 @@
 	}
 }
 
-// event hands one event to its instance.
-func (l *link) event(now time.Duration, event any) error {
+// handle passes one event to its instance; an unknown code is an error.
+func (l *link) handle(now time.Duration, event any) error {
 	switch e := event.(type) {
 	case wire.Inventory:
-		l.lists[e.Set] = switches(e.Entries)
+		l.inventories[e.Set] = switches(e.Entries)
 	case wire.Init:
 		return l.start(e)
 	case wire.Kill:
@@ -78,54 +78,54 @@
 		}
 		m := brookmux.Members{Kind: kind}
 		if kind != brookmux.Failed {
-			m.Switches = l.lists[e.Set]
+			m.Switches = l.inventories[e.Set]
 		}
-		l.to(e.Who, func(i *instance) { i.ctl.Members(now, m) })
+		l.withInstance(e.Who, func(i *instance) { i.controller.Members(now, m) })
 	case wire.Ingress:
-		l.to(e.Who, func(i *instance) { i.ctl.Offered(now, call(e)) })
+		l.withInstance(e.Who, func(i *instance) { i.controller.Offered(now, call(e)) })
 	case wire.FirstByte:
 		s := brookmux.Stands{Call: brookmux.CallID(e.Call), Attempt: int(e.Leg), Took: ms(e.Took)}
-		l.to(e.Who, func(i *instance) { i.ctl.Stands(now, s) })
+		l.withInstance(e.Who, func(i *instance) { i.controller.Stands(now, s) })
 	case wire.Completed:
 		if e.Code > 7 {
 			return fmt.Errorf("COMPLETED: field code: unknown code %d", e.Code)
 		}
-		l.to(e.Who, func(i *instance) { i.ctl.Ended(now, outcome(e, i.names)) })
+		l.withInstance(e.Who, func(i *instance) { i.controller.Ended(now, outcome(e, i.reportNames)) })
 	case wire.Cancelled:
-		l.to(e.Who, func(i *instance) { i.ctl.Left(now, brookmux.CallID(e.Call)) })
+		l.withInstance(e.Who, func(i *instance) { i.controller.Left(now, brookmux.CallID(e.Call)) })
 	case wire.TimerFired:
-		l.to(e.Who, func(i *instance) { i.ctl.Timer(now, e.Tag) })
+		l.withInstance(e.Who, func(i *instance) { i.controller.Timer(now, e.Tag) })
 	case wire.HealthResult:
-		l.to(e.Who, func(i *instance) {
-			i.ctl.Probed(now, brookmux.ProbeResult{Switch: brookmux.SwitchID(e.Switch), OK: e.Code == 1,
-				Unasked: e.Code == 1 && e.Took == 0, Report: figures(i.names, e.Health)})
+		l.withInstance(e.Who, func(i *instance) {
+			i.controller.Probed(now, brookmux.ProbeResult{Switch: brookmux.SwitchID(e.Switch), OK: e.Code == 1,
+				Unasked: e.Code == 1 && e.Took == 0, Report: report(i.reportNames, e.Health)})
 		})
 	}
 	return nil
 }
 
-// to calls f for a live instance; a panic in a decision becomes an EXCEPTION with its text.
-func (l *link) to(who uint32, f func(*instance)) {
-	i := l.instances[who]
+// withInstance calls f for an instance, if it is started. A panic in f becomes an EXCEPTION with the panic's text.
+func (l *link) withInstance(id uint32, f func(*instance)) {
+	i := l.instances[id]
 	if i == nil {
 		return
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			l.reply.Exception(who, fmt.Sprint(p))
+			l.reply.Exception(id, fmt.Sprint(p))
 		}
 	}()
 	f(i)
 }
 
-// start brings an instance up, in place of an earlier one.
+// start creates an instance, which replaces an earlier one with the same number.
 func (l *link) start(e wire.Init) error {
-	s, names, err := parseSettings(e.Settings)
+	s, reportNames, err := parseSettings(e.Settings)
 	if err != nil {
 		return fmt.Errorf("INIT: field bootInfo: %w", err)
 	}
-	i := &instance{who: e.Who, names: names, out: &l.reply}
-	i.ctl, err = brookmux.New(s, e.Salt, i)
+	i := &instance{id: e.Who, reportNames: reportNames, reply: &l.reply}
+	i.controller, err = brookmux.New(s, e.Salt, i)
 	if err != nil {
 		return fmt.Errorf("INIT: field bootInfo: %w", err)
 	}
@@ -133,10 +133,11 @@
 	return nil
 }
 
+// listKinds maps the codes of FLEET's field how.
 var listKinds = map[uint8]brookmux.ListKind{
 	0: brookmux.Delta, 1: brookmux.Full, 2: brookmux.Cached, 3: brookmux.Failed}
 
-// switches translates a list.
+// switches translates the entries of an INVENTORY.
 func switches(entries []wire.Entry) []brookmux.Switch {
 	states := map[uint8]brookmux.SwitchState{1: brookmux.Ready, 2: brookmux.Draining}
 	out := make([]brookmux.Switch, 0, len(entries))
@@ -154,10 +155,10 @@
 		Transit: e.Flags&wire.FlagTransit != 0}
 }
 
-// outcome translates a COMPLETED. The wire's codes for results are in the module's order.
+// outcome translates a COMPLETED. The wire's result codes have the order of the module's Result constants.
 func outcome(e wire.Completed, names []string) brookmux.Outcome {
 	o := brookmux.Outcome{Call: brookmux.CallID(e.Call), Attempt: int(e.Leg), Switch: brookmux.SwitchID(e.Switch),
-		Result: brookmux.Result(e.Code), Took: ms(e.Took), Over: e.Done != 0, Report: figures(names, e.Health)}
+		Result: brookmux.Result(e.Code), Took: ms(e.Took), Over: e.Done != 0, Report: report(names, e.Health)}
 	switch {
 	case e.Why == 18:
 		o.Reason = brookmux.ReasonFarFull
@@ -170,22 +171,22 @@
 	return o
 }
 
-// Send implements brookmux.Host, as do the methods below.
+// Send implements brookmux.Host, as do the following methods.
 func (i *instance) Send(c brookmux.CallID, to brookmux.SwitchID, timeout time.Duration) {
-	i.out.Route(i.who, uint64(c), toMs(timeout), uint32(to))
+	i.reply.Route(i.id, uint64(c), toMs(timeout), uint32(to))
 }
 
 func (i *instance) Refuse(c brookmux.CallID, wait time.Duration) {
-	i.out.Shed(i.who, uint64(c), toMs(wait))
+	i.reply.Shed(i.id, uint64(c), toMs(wait))
 }
 
-func (i *instance) Fail(c brookmux.CallID) { i.out.Error(i.who, uint64(c)) }
+func (i *instance) Fail(c brookmux.CallID) { i.reply.Error(i.id, uint64(c)) }
 
-func (i *instance) Probe(to brookmux.SwitchID) { i.out.Probe(i.who, uint32(to)) }
+func (i *instance) Probe(to brookmux.SwitchID) { i.reply.Probe(i.id, uint32(to)) }
 
 func (i *instance) SetTimer(delay time.Duration, token uint64) {
-	i.out.Timer(i.who, toMs(delay), token)
+	i.reply.Timer(i.id, toMs(delay), token)
 }
 
-func (i *instance) Follow()         { i.out.Follow(i.who, true) }
-func (i *instance) Log(line string) { i.out.NoteDown(i.who, line) }
+func (i *instance) Follow()         { i.reply.Follow(i.id, true) }
+func (i *instance) Log(line string) { i.reply.NoteDown(i.id, line) }
--- a/cmd/benchlink/main_test.go
+++ b/cmd/benchlink/main_test.go
@@ -27,9 +27,9 @@
 		k.Group != brookmux.ScopeCell || k.Hold != 12100*time.Millisecond || len(names) != 4 {
 		t.Errorf("got %+v, names %v", s, names)
 	}
-	r := figures(names, []float32{3, 8, 44, 0.5})
+	r := report(names, []float32{3, 8, 44, 0.5})
 	if r.Free != 3 || r.Size != 8 || r.HoldBack != 0.5 || r.Wait != brookmux.Absent {
-		t.Errorf("figures: %+v", r)
+		t.Errorf("report: %+v", r)
 	}
 }
 
@@ -46,8 +46,8 @@
 	}
 }
 
-// batch frames records with a clock.
-func batch(records []byte) []byte {
+// frame returns a batch of records at clock 1000 ms.
+func frame(records []byte) []byte {
 	b := binary.LittleEndian.AppendUint32(nil, uint32(8+len(records)))
 	b = binary.LittleEndian.AppendUint64(b, math.Float64bits(1000))
 	return append(b, records...)
@@ -63,11 +63,11 @@
 		frames  int
 		problem string
 	}{
-		{"clean end", batch(nil), 1, ""},
-		{"an instance starts", batch(start), 1, ""},
-		{"cut short", batch(start)[:40], 0, "input ends at byte 40"},
-		{"unknown record", batch([]byte{99}), 0, "unknown code 99 at byte 12"},
-		{"unreadable settings", batch([]byte{16, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, '{'}), 0, "bootInfo"},
+		{"clean end", frame(nil), 1, ""},
+		{"an instance starts", frame(start), 1, ""},
+		{"cut short", frame(start)[:40], 0, "input ends at byte 40"},
+		{"unknown record", frame([]byte{99}), 0, "unknown code 99 at byte 12"},
+		{"unreadable settings", frame([]byte{16, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, '{'}), 0, "bootInfo"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -83,11 +83,11 @@
 	}
 }
 
-// TestPanicBecomesException: a panic in a decision reaches the bench with its text.
+// TestPanicBecomesException: a panic in a decision is replied as an EXCEPTION with its text.
 func TestPanicBecomesException(t *testing.T) {
 	l := &link{instances: map[uint32]*instance{1: {}}}
-	l.to(1, func(*instance) { panic("the gate jams") })
-	if !bytes.Contains(l.reply.Bytes(), []byte("the gate jams")) {
+	l.withInstance(1, func(*instance) { panic("division by zero in a gate") })
+	if !bytes.Contains(l.reply.Bytes(), []byte("division by zero in a gate")) {
 		t.Error("the panic's text is not in the reply")
 	}
 }
--- a/cmd/benchlink/settings.go
+++ b/cmd/benchlink/settings.go
@@ -7,20 +7,20 @@
 	conf "brookmux/internal/settings"
 )
 
-// ms turns the wire's milliseconds into a duration.
+// ms converts the wire's milliseconds to a duration.
 func ms(v float64) time.Duration { return conf.MS(v) }
 
-// toMs turns a duration into the wire's milliseconds.
+// toMs converts a duration to the wire's milliseconds.
 func toMs(d time.Duration) float64 { return conf.ToMS(d) }
 
-// parseSettings translates a settings text and returns the names of the report's values too.
+// parseSettings parses a settings text and returns the module's settings and the names of a report's values, in order.
 func parseSettings(text []byte) (brookmux.Settings, []string, error) {
 	s, err := conf.Parse(text)
 	return s.Module, s.ReportNames, err
 }
 
-// figures names a report's values; names that are not known are skipped.
-func figures(names []string, values []float32) brookmux.Report {
+// report returns the report with these values, named by position. Values without a known name are ignored.
+func report(names []string, values []float32) brookmux.Report {
 	r := conf.NoReport()
 	for k, v := range values {
 		if k < len(names) {
