--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,4 +1,4 @@
-// Package tomlfile reads the operators' files strictly: a field that is not known is an error that names its line.
+// Package tomlfile decodes the operators' TOML files strictly: an unknown field is an error that shows its line.
 package tomlfile
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Decode reads a file's text. An error names the line and the field.
+// Decode decodes a file's text into the value that into points to. Its error shows the line and the field at fault.
 func Decode(text []byte, into any) error {
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(into)
 	var strict *toml.StrictMissingError
