--- a/cmd/brookmux/operate.go
+++ b/cmd/brookmux/operate.go
@@ -387,7 +387,7 @@
 	for node, file := range map[string]string{"storm": "deploy/storm.toml", "m3ua": "deploy/m3ua.toml"} {
 		if n := next.Get(node); n != nil && (n.Len() > 0 || n.Def.Presence) {
 			faults = append(faults, schema.Fault{Tag: schema.OperationUnknown, Path: n.Path(),
-				Message: "this is read only at start, from " + file})
+				Message: "it is read at the start only, from " + file})
 		}
 	}
 	return faults
