--- a/internal/store/fsm.go
+++ b/internal/store/fsm.go
@@ -14,12 +14,13 @@
 	"brookmux/internal/jsontext"
 )
 
-const watchQueue = 256
+const watchQueueSize = 256 // changes that a watcher may lag behind before its channel is closed
 
-// append writes a change as JSON.
-func (c Change) append(b []byte) []byte {
+// appendJSON appends the change to b as one line of JSON. It is the form of Raft log entries, snapshots and
+// forwarded changes. The revision is a string, as it is a 64-bit number.
+func (c Change) appendJSON(b []byte) []byte {
 	b = append(b, `{"if":"`...)
-	b = strconv.AppendUint(b, c.If, 10)
+	b = strconv.AppendUint(b, c.IfRevision, 10)
 	b = append(b, `","ops":[`...)
 	for i, op := range c.Ops {
 		if i > 0 {
@@ -36,15 +37,15 @@
 	return append(b, "]}"...)
 }
 
-// parseChange reads a change.
+// parseChange decodes a change that appendJSON has written.
 func parseChange(b []byte) (Change, error) {
 	v, err := fastjson.ParseBytes(b)
 	if err != nil {
-		return Change{}, fmt.Errorf("store: change can't be read: %w", err)
+		return Change{}, fmt.Errorf("store: decode change: %w", err)
 	}
 	var c Change
-	if c.If, err = strconv.ParseUint(string(v.GetStringBytes("if")), 10, 64); err != nil {
-		return c, fmt.Errorf("store: change can't be read: %w", err)
+	if c.IfRevision, err = strconv.ParseUint(string(v.GetStringBytes("if")), 10, 64); err != nil {
+		return c, fmt.Errorf("store: decode change: %w", err)
 	}
 	for _, op := range v.GetArray("ops") {
 		c.Ops = append(c.Ops, Op{Path: string(op.GetStringBytes("path")), Value: string(op.GetStringBytes("value")),
@@ -53,25 +54,25 @@
 	return c, nil
 }
 
-// fsm is the replicated map.
+// fsm is Raft's state machine: the replicated map from paths to values.
 type fsm struct {
 	mu       sync.RWMutex
 	values   map[string]string
-	revision uint64 // of the last change
-	watches  map[chan []Op]struct{}
+	revision uint64 // number of changes applied
+	watchers map[chan []Op]struct{}
 }
 
-// result is what a change came to.
+// result is the response of Apply: the revision after the change, and ErrStale if it was rejected.
 type result struct {
 	revision uint64
 	err      error
 }
 
 func newFSM() *fsm {
-	return &fsm{values: map[string]string{}, watches: map[chan []Op]struct{}{}}
+	return &fsm{values: map[string]string{}, watchers: map[chan []Op]struct{}{}}
 }
 
-// Apply implements raft.FSM.
+// Apply implements raft.FSM. A change for another revision than the current one is rejected with ErrStale.
 func (f *fsm) Apply(l *raft.Log) any {
 	c, err := parseChange(l.Data)
 	if err != nil {
@@ -79,7 +80,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if c.If != 0 && c.If != f.revision {
+	if c.IfRevision != 0 && c.IfRevision != f.revision {
 		return result{f.revision, ErrStale}
 	}
 	f.revision++
@@ -90,33 +91,33 @@
 			f.values[op.Path] = op.Value
 		}
 	}
-	f.tell(c.Ops)
+	f.notify(c.Ops)
 	return result{f.revision, nil}
 }
 
-// tell hands a change to those who watch. The lock is held.
-func (f *fsm) tell(ops []Op) {
-	for w := range f.watches {
+// notify sends a change to all watchers, and closes the channel of each whose queue is full. The caller holds mu.
+func (f *fsm) notify(ops []Op) {
+	for w := range f.watchers {
 		select {
 		case w <- ops:
 		default:
-			delete(f.watches, w)
+			delete(f.watchers, w)
 			close(w)
 		}
 	}
 }
 
-// watch returns a channel of the changes from now on.
+// watch returns a channel of the changes applied from now on, and a function that closes it.
 func (f *fsm) watch() (<-chan []Op, func()) {
-	w := make(chan []Op, watchQueue)
+	w := make(chan []Op, watchQueueSize)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.watches[w] = struct{}{}
+	f.watchers[w] = struct{}{}
 	return w, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if _, open := f.watches[w]; open {
-			delete(f.watches, w)
+		if _, open := f.watchers[w]; open {
+			delete(f.watchers, w)
 			close(w)
 		}
 	}
@@ -148,7 +149,8 @@
 	return &snapshot{maps.Clone(f.values), f.revision}, nil
 }
 
-// Restore implements raft.FSM. Those who watch are told of all that a snapshot changes.
+// Restore implements raft.FSM. Watchers receive all values of the snapshot, and a deletion for each path that it
+// lacks.
 func (f *fsm) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	b, err := io.ReadAll(r)
@@ -162,7 +164,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	old := f.values
-	f.values, f.revision = map[string]string{}, c.If
+	f.values, f.revision = map[string]string{}, c.IfRevision
 	ops := c.Ops
 	for _, op := range c.Ops {
 		f.values[op.Path] = op.Value
@@ -172,11 +174,11 @@
 			ops = append(ops, Op{Path: path, Delete: true})
 		}
 	}
-	f.tell(ops)
+	f.notify(ops)
 	return nil
 }
 
-// snapshot is the map at one time, kept in the form of a change.
+// snapshot is a copy of the map at one revision. It is persisted in the form of a change.
 type snapshot struct {
 	values   map[string]string
 	revision uint64
@@ -184,16 +186,16 @@
 
 // Persist implements raft.FSMSnapshot.
 func (s *snapshot) Persist(sink raft.SnapshotSink) error {
-	c := Change{If: s.revision}
+	c := Change{IfRevision: s.revision}
 	for path, v := range s.values {
 		c.Ops = append(c.Ops, Op{Path: path, Value: v})
 	}
-	if _, err := sink.Write(c.append(nil)); err != nil {
+	if _, err := sink.Write(c.appendJSON(nil)); err != nil {
 		sink.Cancel()
 		return fmt.Errorf("store: snapshot: %w", err)
 	}
 	return sink.Close()
 }
 
-// Release implements raft.FSMSnapshot.
+// Release implements raft.FSMSnapshot; there is nothing to free.
 func (s *snapshot) Release() {}
--- a/internal/store/layer.go
+++ b/internal/store/layer.go
@@ -15,47 +15,50 @@
 	"github.com/hashicorp/raft"
 )
 
-// The first byte of a connection says what it is for.
+// The first byte of a connection gives its purpose.
 const (
-	forRaft    = 'R'
-	forForward = 'F'
+	connRaft    = 'R'
+	connForward = 'F'
 )
 
 const (
-	greetWithin = 2 * time.Second
-	mostForward = 1 << 20
+	firstByteTimeout = 2 * time.Second // for a new connection to send its purpose
+	maxForwardBytes  = 1 << 20         // bytes of a forwarded change
 )
 
-// layer is one port for Raft and for the changes that members hand to the one that leads.
-type layer struct {
+// streamLayer shares one listening port between Raft and the changes that members forward to the leader. It
+// implements raft.StreamLayer.
+type streamLayer struct {
 	net.Listener
-	raft    chan net.Conn
-	forward chan net.Conn
-	done    chan struct{}
-	once    sync.Once
+	raftConns    chan net.Conn
+	forwardConns chan net.Conn
+	done         chan struct{}
+	closeOnce    sync.Once
 }
 
-func newLayer(l net.Listener) *layer {
-	x := &layer{Listener: l, raft: make(chan net.Conn), forward: make(chan net.Conn), done: make(chan struct{})}
-	go x.accept()
+// newStreamLayer returns a streamLayer on l, which it owns, and starts to accept connections.
+func newStreamLayer(l net.Listener) *streamLayer {
+	x := &streamLayer{Listener: l, raftConns: make(chan net.Conn), forwardConns: make(chan net.Conn), done: make(chan struct{})}
+	go x.acceptLoop()
 	return x
 }
 
-// accept sorts the connections that come.
-func (l *layer) accept() {
+// acceptLoop dispatches each incoming connection, until the listener is closed.
+func (l *streamLayer) acceptLoop() {
 	for {
 		c, err := l.Listener.Accept()
 		if err != nil {
 			return
 		}
-		go l.sort(c)
+		go l.dispatch(c)
 	}
 }
 
-// sort reads what a connection is for.
-func (l *layer) sort(c net.Conn) {
+// dispatch reads the purpose of a connection and hands it to Raft or to serveForwarded. It closes a connection that
+// names no known purpose within firstByteTimeout.
+func (l *streamLayer) dispatch(c net.Conn) {
 	var b [1]byte
-	if c.SetReadDeadline(time.Now().Add(greetWithin)) != nil {
+	if c.SetReadDeadline(time.Now().Add(firstByteTimeout)) != nil {
 		c.Close()
 		return
 	}
@@ -63,26 +66,26 @@
 		c.Close()
 		return
 	}
-	to := l.raft
+	conns := l.raftConns
 	switch b[0] {
-	case forRaft:
-	case forForward:
-		to = l.forward
+	case connRaft:
+	case connForward:
+		conns = l.forwardConns
 	default:
 		c.Close()
 		return
 	}
 	select {
-	case to <- c:
+	case conns <- c:
 	case <-l.done:
 		c.Close()
 	}
 }
 
-// Accept implements net.Listener for Raft.
-func (l *layer) Accept() (net.Conn, error) {
+// Accept implements net.Listener: it returns the next connection for Raft.
+func (l *streamLayer) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.raft:
+	case c := <-l.raftConns:
 		return c, nil
 	case <-l.done:
 		return nil, net.ErrClosed
@@ -90,75 +93,77 @@
 }
 
 // Close implements net.Listener.
-func (l *layer) Close() error {
-	l.once.Do(func() { close(l.done) })
+func (l *streamLayer) Close() error {
+	l.closeOnce.Do(func() { close(l.done) })
 	return l.Listener.Close()
 }
 
-// Dial implements raft.StreamLayer.
-func (l *layer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	return dial(context.Background(), string(address), timeout, forRaft)
+// Dial implements raft.StreamLayer: it opens a connection for Raft.
+func (l *streamLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	return dial(context.Background(), string(address), timeout, connRaft)
 }
 
-// dial opens a connection for one of the purposes.
-func dial(ctx context.Context, address string, timeout time.Duration, what byte) (net.Conn, error) {
+// dial opens a connection and sends its purpose, connRaft or connForward.
+func dial(ctx context.Context, address string, timeout time.Duration, purpose byte) (net.Conn, error) {
 	d := net.Dialer{Timeout: timeout}
 	c, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	if _, err := c.Write([]byte{what}); err != nil {
+	if _, err := c.Write([]byte{purpose}); err != nil {
 		c.Close()
 		return nil, err
 	}
 	return c, nil
 }
 
-// serve makes the changes that other members hand on, one a connection: a line with the change, and back a
-// line with the revision or an error's word.
-func (l *layer) serve(apply func([]byte) (uint64, error)) {
+// serveForwarded applies the changes that other members forward, until the layer is closed. A connection carries one
+// change: the request is a line with the change as JSON, the reply a line with "ok" and the revision, "stale", or
+// "no" and the error.
+func (l *streamLayer) serveForwarded(apply func([]byte) (uint64, error)) {
 	for {
 		select {
-		case c := <-l.forward:
-			go answer(c, apply)
+		case c := <-l.forwardConns:
+			go handleForwarded(c, apply)
 		case <-l.done:
 			return
 		}
 	}
 }
 
-// answer serves one connection.
-func answer(c net.Conn, apply func([]byte) (uint64, error)) {
+// handleForwarded applies the change of one connection, writes the reply and closes the connection.
+func handleForwarded(c net.Conn, apply func([]byte) (uint64, error)) {
 	defer c.Close()
-	if c.SetDeadline(time.Now().Add(transportWithin+applyWithin)) != nil {
+	if c.SetDeadline(time.Now().Add(transportTimeout+applyTimeout)) != nil {
 		return
 	}
-	line, err := bufio.NewReader(io.LimitReader(c, mostForward)).ReadBytes('\n')
+	line, err := bufio.NewReader(io.LimitReader(c, maxForwardBytes)).ReadBytes('\n')
 	if err != nil {
 		return
 	}
-	word := ""
+	reply := ""
 	rev, err := apply(line)
 	switch {
 	case err == nil:
-		word = "ok " + strconv.FormatUint(rev, 10)
+		reply = "ok " + strconv.FormatUint(rev, 10)
 	case errors.Is(err, ErrStale):
-		word = "stale"
+		reply = "stale"
 	default:
-		word = "no " + err.Error()
+		reply = "no " + err.Error()
 	}
-	_, _ = io.WriteString(c, word+"\n") // the member that asked sees the end of the connection
+	_, _ = io.WriteString(c, reply+"\n") // the requesting member sees the end of the connection
 }
 
-// forward hands a change to the member that leads.
+// forward sends an encoded change to the leader and returns the store's revision with it. The error wraps ErrNoLeader
+// if the leader can't be reached or fails, and is ErrStale if it rejects the revision.
 func forward(ctx context.Context, leader string, command []byte) (uint64, error) {
-	c, err := dial(ctx, leader, transportWithin, forForward)
+	c, err := dial(ctx, leader, transportTimeout, connForward)
 	if err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrNoLeader, err)
 	}
 	defer c.Close()
 	defer context.AfterFunc(ctx, func() { c.Close() })()
-	if err := c.SetDeadline(time.Now().Add(transportWithin + applyWithin)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(transportTimeout + applyTimeout)); err != nil {
 		return 0, err
 	}
 	if _, err := c.Write(append(command, '\n')); err != nil {
@@ -168,12 +173,12 @@
 	if err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrNoLeader, err)
 	}
-	word, rest, _ := strings.Cut(strings.TrimSpace(line), " ")
-	switch word {
+	status, detail, _ := strings.Cut(strings.TrimSpace(line), " ")
+	switch status {
 	case "ok":
-		return strconv.ParseUint(rest, 10, 64)
+		return strconv.ParseUint(detail, 10, 64)
 	case "stale":
 		return 0, ErrStale
 	}
-	return 0, fmt.Errorf("%w: %s", ErrNoLeader, rest)
+	return 0, fmt.Errorf("%w: %s", ErrNoLeader, detail)
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,6 @@
-// Package store keeps the configuration and the state of the border controllers in a small replicated store
-// of their own: a map from paths to values, on Raft. On the platform it is one member in memory and opens no
-// port. It lies off the path of calls.
+// Package store keeps the configuration and the state of the border controllers in a small replicated store: a map
+// from paths to values, replicated by Raft. On the platform it has a single member in memory and opens no port. Call
+// processing doesn't depend on it.
 package store
 
 import (
@@ -21,72 +21,73 @@
 )
 
 const (
-	maxPool           = 3
-	transportWithin   = 2 * time.Second
-	applyWithin       = 3 * time.Second
-	snapshotThreshold = 256 // entries of the log between two snapshots
-	trailing          = 64  // and how many are kept after one: members that lag less need no snapshot
-	snapshotsKept     = 2
+	maxPooledConns    = 3               // idle connections that Raft keeps to each member
+	transportTimeout  = 2 * time.Second // to dial a member, and for Raft's network I/O
+	applyTimeout      = 3 * time.Second // for Raft to accept a change
+	snapshotThreshold = 256             // log entries between two snapshots
+	trailingLogs      = 64              // log entries kept after a snapshot: a member that lags less needs no snapshot
+	retainedSnapshots = 2
 )
 
-// ErrStale tells that a change was made for a revision that is no longer the present one.
+// ErrStale reports that a change was rejected because its Change.IfRevision is not the store's current revision.
 var ErrStale = errors.New("store: the revision is stale")
 
-// ErrNoLeader tells that no change can be made for the moment: too few members are there, or one is being
-// elected. Whether a change that was under way took effect is not known.
+// ErrNoLeader reports that no change can be made at present: there is no majority of members, or an election is in
+// progress. A change that was in progress may or may not have taken effect.
 var ErrNoLeader = errors.New("store: no leader")
 
-// Member is one of the replicas.
+// Member is a replica as the others address it.
 type Member struct {
 	ID      string `toml:"id"`
 	Address string `toml:"address"`
 }
 
-// Config says what a replica is.
+// Config configures a replica.
 type Config struct {
-	ID   string // among the members
-	Bind string // where the other members reach it; empty: the only member, no port
-	// Listener, if set, is open on Bind already.
-	Listener net.Listener
-	Dir      string   // where its log is kept; empty: in memory
-	Members  []Member // all of them, with Bind
-	Fast     bool     // short time-outs, for members on one machine
-	Log      *slog.Logger
+	ID   string // unique among the members
+	Bind string // address at which the other members reach it; empty: the only member, no port
+	// Listener, if set, is already open on Bind. The replica closes it.
+	Listener      net.Listener
+	Dir           string   // directory of the log and the snapshots; empty: in memory
+	Members       []Member // all members, this one included; unused without Bind
+	ShortTimeouts bool     // short Raft time-outs, for members on one machine
+	Log           *slog.Logger
 }
 
-// Op sets a path's value, or deletes it.
+// Op sets the value of a path, or deletes the path.
 type Op struct {
 	Path   string
 	Value  string
 	Delete bool
 }
 
-// Change is what takes effect at once or not at all.
+// Change is a list of operations that take effect together or not at all.
 type Change struct {
-	Ops []Op
-	If  uint64 // only while the store's revision is this one; 0: whatever it is
+	Ops        []Op
+	IfRevision uint64 // the change is rejected unless the store has this revision; 0: any
 }
 
-// Store is one replica. Use Open.
+// Store is one replica of the replicated map. It is created by Open and safe for concurrent use.
 type Store struct {
-	raft   *raft.Raft
-	fsm    *fsm
-	layer  *layer
-	log    *slog.Logger
-	closes []io.Closer
+	raft    *raft.Raft
+	fsm     *fsm
+	layer   *streamLayer
+	log     *slog.Logger
+	closers []io.Closer
 }
 
-// Open starts a replica. Members that are new start the cluster together; one that has a log goes on.
+// Open starts a replica. New members bootstrap the cluster with Config.Members; a member that has a log resumes from
+// it. The caller closes the store.
 func Open(c Config) (*Store, error) {
 	s := &Store{fsm: newFSM(), log: c.Log}
-	conf := raft.DefaultConfig()
-	conf.LocalID = raft.ServerID(c.ID)
-	conf.SnapshotThreshold, conf.TrailingLogs = snapshotThreshold, trailing
-	conf.Logger = hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: lineLog{c.Log},
+	raftConfig := raft.DefaultConfig()
+	raftConfig.LocalID = raft.ServerID(c.ID)
+	raftConfig.SnapshotThreshold, raftConfig.TrailingLogs = snapshotThreshold, trailingLogs
+	raftConfig.Logger = hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: logWriter{c.Log},
 		DisableTime: true})
-	if c.Fast || c.Bind == "" { // a member that is alone has nobody to wait for
-		conf.HeartbeatTimeout, conf.ElectionTimeout = 150*time.Millisecond, 150*time.Millisecond
-		conf.LeaderLeaseTimeout, conf.CommitTimeout = 100*time.Millisecond, 5*time.Millisecond
+	if c.ShortTimeouts || c.Bind == "" { // a single member has no others to wait for
+		raftConfig.HeartbeatTimeout, raftConfig.ElectionTimeout = 150*time.Millisecond, 150*time.Millisecond
+		raftConfig.LeaderLeaseTimeout, raftConfig.CommitTimeout = 100*time.Millisecond, 5*time.Millisecond
 	}
 	opened := false
 	defer func() {
@@ -94,35 +95,35 @@
 			s.closeAll()
 		}
 	}()
-	logs, stable, snaps, err := s.disk(c)
+	logs, stable, snaps, err := s.openStorage(c)
 	if err != nil {
 		return nil, err
 	}
-	transport, members, err := s.network(c)
+	transport, members, err := s.openTransport(c)
 	if err != nil {
 		return nil, err
 	}
-	known, err := raft.HasExistingState(logs, stable, snaps)
+	hasState, err := raft.HasExistingState(logs, stable, snaps)
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	if s.raft, err = raft.NewRaft(conf, s.fsm, logs, stable, snaps, transport); err != nil {
+	if s.raft, err = raft.NewRaft(raftConfig, s.fsm, logs, stable, snaps, transport); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	if !known {
+	if !hasState {
 		if err := s.raft.BootstrapCluster(raft.Configuration{Servers: members}).Error(); err != nil {
 			return nil, fmt.Errorf("store: bootstrap: %w", err)
 		}
 	}
 	if s.layer != nil {
-		go s.layer.serve(s.apply)
+		go s.layer.serveForwarded(s.applyLocal)
 	}
 	opened = true
 	return s, nil
 }
 
-// disk opens the log and the snapshots, in memory where there is no folder for them.
-func (s *Store) disk(c Config) (raft.LogStore, raft.StableStore, raft.SnapshotStore, error) {
+// openStorage opens the log, Raft's stable store and the snapshots in Config.Dir, or in memory without one.
+func (s *Store) openStorage(c Config) (raft.LogStore, raft.StableStore, raft.SnapshotStore, error) {
 	if c.Dir == "" {
 		m := raft.NewInmemStore()
 		return m, m, raft.NewInmemSnapshotStore(), nil
@@ -134,16 +135,17 @@
 	if err != nil {
 		return nil, nil, nil, fmt.Errorf("store: %s: %w", c.Dir, err)
 	}
-	s.closes = append(s.closes, bolt)
-	snaps, err := raft.NewFileSnapshotStore(c.Dir, snapshotsKept, lineLog{c.Log})
+	s.closers = append(s.closers, bolt)
+	snaps, err := raft.NewFileSnapshotStore(c.Dir, retainedSnapshots, logWriter{c.Log})
 	if err != nil {
 		return nil, nil, nil, fmt.Errorf("store: %s: %w", c.Dir, err)
 	}
 	return bolt, bolt, snaps, nil
 }
 
-// network opens the way to the other members, and lists them all.
-func (s *Store) network(c Config) (raft.Transport, []raft.Server, error) {
+// openTransport opens the transport to the other members and returns it with all members. Without Config.Bind the
+// transport is in memory and this member the only one.
+func (s *Store) openTransport(c Config) (raft.Transport, []raft.Server, error) {
 	if c.Bind == "" {
 		addr, t := raft.NewInmemTransport("")
 		return t, []raft.Server{{ID: raft.ServerID(c.ID), Address: addr}}, nil
@@ -155,9 +157,9 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("store: listen: %w", err)
 	}
-	s.layer = newLayer(l)
-	t := raft.NewNetworkTransport(s.layer, maxPool, transportWithin, lineLog{c.Log})
-	s.closes = append(s.closes, t)
+	s.layer = newStreamLayer(l)
+	t := raft.NewNetworkTransport(s.layer, maxPooledConns, transportTimeout, logWriter{c.Log})
+	s.closers = append(s.closers, t)
 	var members []raft.Server
 	for _, m := range c.Members {
 		members = append(members, raft.Server{ID: raft.ServerID(m.ID), Address: raft.ServerAddress(m.Address)})
@@ -165,23 +167,25 @@
 	return t, members, nil
 }
 
-// Apply makes a change, on this member or, where it does not lead, through the one that does. It returns the
-// store's revision with the change.
+// Apply makes a change, on this member if it is the leader and through the leader otherwise, and returns the store's
+// revision with the change. The error is or wraps ErrStale or ErrNoLeader where one of them applies. ctx bounds only
+// forwarding to the leader.
 func (s *Store) Apply(ctx context.Context, c Change) (uint64, error) {
-	rev, err := s.apply(c.append(nil))
+	rev, err := s.applyLocal(c.appendJSON(nil))
 	if !errors.Is(err, raft.ErrNotLeader) {
-		return rev, known(err)
+		return rev, mapRaftError(err)
 	}
 	leader, _ := s.raft.LeaderWithID()
 	if leader == "" || s.layer == nil {
 		return 0, ErrNoLeader
 	}
-	rev, err = forward(ctx, string(leader), c.append(nil))
-	return rev, known(err)
+	rev, err = forward(ctx, string(leader), c.appendJSON(nil))
+	return rev, mapRaftError(err)
 }
 
-// known turns Raft's errors into this package's.
-func known(err error) error {
+// mapRaftError wraps the errors of Raft that mean that there is no leader in ErrNoLeader. It returns ErrStale and
+// ErrNoLeader unchanged.
+func mapRaftError(err error) error {
 	switch {
 	case err == nil, errors.Is(err, ErrStale), errors.Is(err, ErrNoLeader):
 		return err
@@ -192,9 +196,10 @@
 	return fmt.Errorf("store: %w", err)
 }
 
-// apply makes an encoded change on this member, which has to lead.
-func (s *Store) apply(command []byte) (uint64, error) {
-	f := s.raft.Apply(command, applyWithin)
+// applyLocal applies an encoded change on this member, which must be the leader: else the error is
+// raft.ErrNotLeader.
+func (s *Store) applyLocal(command []byte) (uint64, error) {
+	f := s.raft.Apply(command, applyTimeout)
 	if err := f.Error(); err != nil {
 		return 0, err
 	}
@@ -202,39 +207,39 @@
 	return r.revision, r.err
 }
 
-// Get returns a path's value as this member knows it.
+// Get returns the value of a path as this replica has it, which may lag behind the leader's, and whether it is set.
 func (s *Store) Get(path string) (string, bool) { return s.fsm.get(path) }
 
-// List returns the paths under a prefix with their values, and the revision that they are of.
+// List returns the paths that begin with prefix and their values as this replica has them, and their revision.
 func (s *Store) List(prefix string) (map[string]string, uint64) { return s.fsm.list(prefix) }
 
-// Watch returns the changes from now on. The channel closes with cancel, and when its reader lags too far
-// behind.
+// Watch returns the changes from now on. The channel is closed by cancel, and when its reader lags more than
+// watchQueueSize changes behind.
 func (s *Store) Watch() (changes <-chan []Op, cancel func()) { return s.fsm.watch() }
 
-// Leads tells whether this member leads.
-func (s *Store) Leads() bool { return s.raft.State() == raft.Leader }
+// IsLeader reports whether this member is the leader.
+func (s *Store) IsLeader() bool { return s.raft.State() == raft.Leader }
 
-// Close ends the replica.
+// Close stops the replica and closes its transport and files.
 func (s *Store) Close() error {
 	err := s.raft.Shutdown().Error()
 	return errors.Join(err, s.closeAll())
 }
 
-// closeAll closes what Open opened beside Raft.
+// closeAll closes the transport and the log that Open has opened.
 func (s *Store) closeAll() error {
 	var errs []error
-	for _, c := range s.closes {
+	for _, c := range s.closers {
 		errs = append(errs, c.Close())
 	}
 	return errors.Join(errs...)
 }
 
-// lineLog hands Raft's lines to the log.
-type lineLog struct{ log *slog.Logger }
+// logWriter writes the log lines of Raft to log, as warnings.
+type logWriter struct{ log *slog.Logger }
 
 // Write implements io.Writer.
-func (l lineLog) Write(b []byte) (int, error) {
+func (l logWriter) Write(b []byte) (int, error) {
 	l.log.Warn("store", "line", strings.TrimSpace(string(b)))
 	return len(b), nil
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -12,14 +12,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-const patience = 30 * time.Second // only a failure takes so long
+const testTimeout = 30 * time.Second // reached only on failure
 
-// cluster is three replicas on loopback.
+// cluster holds three replicas on loopback, with their logs in dir.
 type cluster struct {
 	t       *testing.T
 	dir     string
 	members []Member
-	stores  []*Store // nil while one is down
+	stores  []*Store // nil: stopped
 }
 
 func newCluster(t *testing.T) *cluster {
@@ -42,7 +42,7 @@
 	return c
 }
 
-// start brings a replica up, again where it was before.
+// start starts a replica, on its former address and directory if it ran before. Without l, it opens its own listener.
 func (c *cluster) start(i int, l net.Listener) {
 	var err error
 	if l == nil {
@@ -51,7 +51,7 @@
 	}
 	m := c.members[i]
 	dir := filepath.Join(c.dir, m.ID)
-	c.stores[i], err = Open(Config{ID: m.ID, Bind: m.Address, Listener: l, Dir: dir, Members: c.members, Fast: true,
+	c.stores[i], err = Open(Config{ID: m.ID, Bind: m.Address, Listener: l, Dir: dir, Members: c.members, ShortTimeouts: true,
 		Log: slog.New(slog.DiscardHandler)})
 	require.NoError(c.t, err)
 }
@@ -63,13 +63,13 @@
 	}
 }
 
-// leader waits until a replica leads, and returns it and one that follows.
-func (c *cluster) leader() (leader, follower int) {
-	deadline := time.Now().Add(patience)
+// waitLeader waits for a leader, and returns the indexes of the leader and of one follower.
+func (c *cluster) waitLeader() (leader, follower int) {
+	deadline := time.Now().Add(testTimeout)
 	for time.Now().Before(deadline) {
 		leader, follower = -1, -1
 		for i, s := range c.stores {
-			if s != nil && s.Leads() {
+			if s != nil && s.IsLeader() {
 				leader = i
 			} else if s != nil {
 				follower = i
@@ -78,15 +78,15 @@
 		if leader >= 0 {
 			return leader, follower
 		}
-		time.Sleep(time.Millisecond) // there is no event to wait for: a poll of three replicas
+		time.Sleep(time.Millisecond) // polls, as replicas report no event on election
 	}
 	require.Fail(c.t, "no leader")
 	return 0, 0
 }
 
-// set writes a value, again while an election is under way.
+// set writes a value through replica i, and retries during an election. It returns the revision.
 func (c *cluster) set(i int, path, value string) uint64 {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for {
 		rev, err := c.stores[i].Apply(ctx, Change{Ops: []Op{{Path: path, Value: value}}})
@@ -97,11 +97,11 @@
 	}
 }
 
-// has waits until a replica knows a value.
-func (c *cluster) has(i int, path, value string) {
+// waitValue waits until replica i has the value.
+func (c *cluster) waitValue(i int, path, value string) {
 	changes, cancel := c.stores[i].Watch()
 	defer cancel()
-	timeout := time.After(patience)
+	timeout := time.After(testTimeout)
 	for {
 		if v, ok := c.stores[i].Get(path); ok && v == value {
 			return
@@ -117,67 +117,68 @@
 
 func TestReplicas(t *testing.T) {
 	c := newCluster(t)
-	leader, follower := c.leader()
+	leader, follower := c.waitLeader()
 	c.set(leader, "/x", "1")
-	c.set(follower, "/y", "2") // handed on to the leader
+	c.set(follower, "/y", "2") // forwarded to the leader
 	for i := range c.stores {
-		c.has(i, "/x", "1")
-		c.has(i, "/y", "2")
+		c.waitValue(i, "/x", "1")
+		c.waitValue(i, "/y", "2")
 	}
 
-	// The leader is lost: another takes over and nothing that was written is.
+	// After the loss of the leader, another is elected and no write is lost.
 	c.stop(leader)
-	next, other := c.leader()
-	require.NotEqual(t, leader, next)
-	c.has(next, "/y", "2")
-	c.set(other, "/x", "3")
+	newLeader, newFollower := c.waitLeader()
+	require.NotEqual(t, leader, newLeader)
+	c.waitValue(newLeader, "/y", "2")
+	c.set(newFollower, "/x", "3")
 
-	// A replica that was away has all of it once it is back, by snapshot as well.
+	// A restarted replica catches up, also from a snapshot.
 	for n := range 3 * snapshotThreshold {
-		c.set(next, "/n", string(rune('a'+n%26)))
+		c.set(newLeader, "/n", string(rune('a'+n%26)))
 	}
-	require.NoError(t, c.stores[next].raft.Snapshot().Error())
+	require.NoError(t, c.stores[newLeader].raft.Snapshot().Error())
 	c.start(leader, nil)
-	c.has(leader, "/x", "3")
-	c.has(leader, "/n", string(rune('a'+(3*snapshotThreshold-1)%26)))
+	c.waitValue(leader, "/x", "3")
+	c.waitValue(leader, "/n", string(rune('a'+(3*snapshotThreshold-1)%26)))
 
-	// Without a majority nothing is written, and it is not said to be.
-	lead, follow := c.leader()
+	// Without a majority, a write fails with ErrNoLeader and does not take effect.
+	lead, follow := c.waitLeader()
 	for i := range c.stores {
 		if i != lead && i != follow {
 			c.stop(i)
 		}
 	}
 	c.stop(lead)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	_, err := c.stores[follow].Apply(ctx, Change{Ops: []Op{{Path: "/x", Value: "lost"}}})
 	require.ErrorIs(t, err, ErrNoLeader)
-	c.has(follow, "/x", "3")
+	c.waitValue(follow, "/x", "3")
 }
 
 func TestStaleWrite(t *testing.T) {
 	c := newCluster(t)
-	leader, follower := c.leader()
+	leader, follower := c.waitLeader()
 	rev := c.set(leader, "/x", "1")
 	c.set(leader, "/x", "2")
 	for _, i := range []int{leader, follower} {
-		_, err := c.stores[i].Apply(context.Background(), Change{Ops: []Op{{Path: "/x", Value: "old"}}, If: rev})
+		_, err := c.stores[i].Apply(context.Background(), Change{Ops: []Op{{Path: "/x", Value: "old"}}, IfRevision: rev})
 		require.ErrorIs(t, err, ErrStale)
 	}
-	next, err := c.stores[leader].Apply(context.Background(), Change{Ops: []Op{{Path: "/x", Delete: true}}, If: rev + 1})
+	next, err := c.stores[leader].Apply(context.Background(), Change{Ops: []Op{{Path: "/x", Delete: true}}, IfRevision: rev + 1})
 	require.NoError(t, err)
 	require.Equal(t, rev+2, next)
 	_, ok := c.stores[leader].Get("/x")
 	require.False(t, ok)
 }
 
-// TestAlone: on the platform the store is one member in memory, without a port.
+// TestAlone covers the single member in memory, as on the platform: it opens no port. The value holds characters that
+// JSON escapes.
 func TestAlone(t *testing.T) {
-	s, err := Open(Config{ID: "n0", Fast: true, Log: slog.New(slog.DiscardHandler)})
+	s, err := Open(Config{ID: "n0", ShortTimeouts: true, Log: slog.New(slog.DiscardHandler)})
 	require.NoError(t, err)
 	c := &cluster{t: t, stores: []*Store{s}}
-	c.leader()
+	c.waitLeader()
 	changes, cancel := s.Watch()
 	defer cancel()
 	c.set(0, "/x", "a\x00\"b")
