--- a/internal/mgmt/mgmt_test.go
+++ b/internal/mgmt/mgmt_test.go
@@ -11,8 +11,8 @@
 	model "brookmux/yang"
 )
 
-// TestModel: goyang takes the model without a complaint, each node is described, and what Capabilities says
-// of it is what stands in it.
+// TestModel checks that goyang accepts the model, that each node has a description, that only the configuration is
+// writable, that defaults are valid, and that the organization and revision that Capabilities returns match the model.
 func TestModel(t *testing.T) {
 	set := yang.NewModules()
 	require.NoError(t, set.Parse(model.Model, "brookmux.yang"))
@@ -23,7 +23,7 @@
 	require.Equal(t, model.Revision, m.Current())
 	s, err := NewSchema()
 	require.NoError(t, err)
-	for _, x := range below(s.root)[1:] {
+	for _, x := range subtree(s.root)[1:] {
 		require.NotEmpty(t, x.Description, x.Path())
 		require.Equal(t, x.Path() != "" && slices.Contains([]string{"/brookmux/border-control"}, x.Path()) ||
 			x.Parent.Name == "config" || x.Name == "config", !x.ReadOnly(), x.Path())
@@ -31,11 +31,11 @@
 	for text, value := range s.defaults() {
 		x, err := s.entry(parsePath(text))
 		require.NoError(t, err)
-		require.NoError(t, (&Schema{}).check(x, value))
+		require.NoError(t, (&Schema{}).checkValue(x, value))
 	}
 }
 
-// TestPaths: paths are stored in a form that is read back as it was.
+// TestPaths checks that parsePath reverses path.String, also for key values with special characters.
 func TestPaths(t *testing.T) {
 	for _, p := range []path{
 		{{name: "a"}},
--- a/internal/mgmt/owned.go
+++ b/internal/mgmt/owned.go
@@ -22,31 +22,34 @@
 	"brookmux/internal/transact"
 )
 
-const mostBehind = 64 // changes that a subscriber may lag
+const watchQueueSize = 64 // changes that a watcher may lag behind before its channel is closed
 
-// Owned is the transactional configuration as a Source, with the state beside it: a Set is one transaction, and what
-// NETCONF changes is seen here.
+// Owned serves the transactional configuration of a transact.Owner as a Source, together with state. A Set is one
+// transaction. Changes made over NETCONF appear too, as both interfaces share the owner. The user of Owned calls Poll.
 type Owned struct {
-	owner *transact.Owner
-	state func(tree *schema.Node)  // adds what is seen of the configuration's nodes
-	more  func() map[string]string // state by path that is kept elsewhere
-	rules func(user string) *nacm.Rules
-	root  *schema.Def
-
-	mu       sync.Mutex
-	watchers map[chan []store.Op]struct{}
-	seen     map[string]string // what Poll told last
+	owner      *transact.Owner
+	addState   func(tree *schema.Node)  // adds state to the configuration tree
+	extraState func() map[string]string // state from outside the tree, by path
+	rulesFor   func(user string) *nacm.Rules
+	rootDef    *schema.Def
+
+	mu         sync.Mutex
+	watchers   map[chan []store.Op]struct{}
+	lastValues map[string]string // values at the last Poll; nil without watchers
 }
 
-// NewOwned returns a Source on an owner. rules are those that hold for a user now, nil for all.
-func NewOwned(o *transact.Owner, state func(*schema.Node), more func() map[string]string, rules func(string) *nacm.Rules) *Owned {
-	var root *schema.Def
-	o.Look(func(s *datastore.Store) { root = s.Model.Root })
-	return &Owned{owner: o, root: root, state: state, more: more, rules: rules, watchers: map[chan []store.Op]struct{}{}}
+// NewOwned returns a Source on the transactional configuration of o. addState adds state to the configuration tree, and
+// extraState returns more state by path. rulesFor returns the access rules that currently apply to a user, or nil if
+// the user may read everything.
+func NewOwned(o *transact.Owner, addState func(*schema.Node), extraState func() map[string]string, rulesFor func(string) *nacm.Rules) *Owned {
+	var rootDef *schema.Def
+	o.Look(func(s *datastore.Store) { rootDef = s.Model.Root })
+	return &Owned{owner: o, rootDef: rootDef, addState: addState, extraState: extraState, rulesFor: rulesFor, watchers: map[chan []store.Op]struct{}{}}
 }
 
-// stored writes an item's path as paths are written here; elements of leaf-lists have none.
-func stored(text string) (string, bool) {
+// toStorePath converts the path of a schema.Item to the form of path.String. It reports false for elements of
+// leaf-lists, which have no such form, and for invalid paths.
+func toStorePath(text string) (string, bool) {
 	steps, err := schema.ParsePath(text)
 	if err != nil {
 		return "", false
@@ -61,8 +64,8 @@
 	return p.String(), true
 }
 
-// item is the other way round.
-func item(text string) string {
+// toItemPath converts a path in the form of path.String to the form of a schema.Item.
+func toItemPath(text string) string {
 	var b strings.Builder
 	for _, e := range parsePath(text) {
 		b.WriteString("/" + e.name)
@@ -73,52 +76,53 @@
 	return b.String()
 }
 
-// List implements Source. Defaults are there as if they were set.
+// List implements Source. The values include defaults of nodes that are not set.
 func (o *Owned) List(prefix string) (map[string]string, uint64) {
 	var tree *schema.Node
-	var last uint64
+	var revision uint64
 	o.owner.Look(func(s *datastore.Store) {
-		tree, _ = s.Get(datastore.Running) // it is always there
-		last = s.Last()
+		tree, _ = s.Get(datastore.Running) // Running always exists
+		revision = s.Last()
 		s.Tell(tree)
 	})
-	o.state(tree)
+	o.addState(tree)
 	out := map[string]string{}
 	for _, i := range schema.WithDefaults(tree).Items() {
-		if p, ok := stored(i.Path); ok && strings.HasPrefix(p, prefix) {
+		if p, ok := toStorePath(i.Path); ok && strings.HasPrefix(p, prefix) {
 			out[p] = i.Value
 		}
 	}
-	for p, v := range o.more() {
+	for p, v := range o.extraState() {
 		if strings.HasPrefix(p, prefix) {
 			out[p] = v
 		}
 	}
-	return out, last
+	return out, revision
 }
 
-// Readable implements Source.
+// Readable implements Source, by the access rules of the client's user.
 func (o *Owned) Readable(ctx context.Context) func(string) bool {
-	name := user(ctx)
-	r := o.rules(name)
+	name := clientUser(ctx)
+	r := o.rulesFor(name)
 	if r == nil {
 		return func(string) bool { return true }
 	}
-	return func(text string) bool { return r.Path(name, o.root, item(text)) }
+	return func(text string) bool { return r.Path(name, o.rootDef, toItemPath(text)) }
 }
 
-// Watch implements Source.
+// Watch implements Source. Changes are sent by Poll.
 func (o *Owned) Watch() (<-chan []store.Op, func()) {
-	c := make(chan []store.Op, mostBehind)
+	c := make(chan []store.Op, watchQueueSize)
 	o.mu.Lock()
-	if o.watchers[c] = struct{}{}; o.seen == nil {
-		o.seen, _ = o.List("") // what changes from here on is told
+	if o.watchers[c] = struct{}{}; o.lastValues == nil {
+		o.lastValues, _ = o.List("") // Poll reports changes from this state on
 	}
 	o.mu.Unlock()
-	return c, func() { o.drop(c) }
+	return c, func() { o.unwatch(c) }
 }
 
-func (o *Owned) drop(c chan []store.Op) {
+// unwatch removes a watcher and closes its channel, unless Poll has closed it already.
+func (o *Owned) unwatch(c chan []store.Op) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if _, ok := o.watchers[c]; ok {
@@ -127,25 +131,25 @@
 	}
 }
 
-// Poll tells the watchers what has changed since the last time, of configuration and state alike. Whoever owns this
-// calls it after each transaction and some times a second.
+// Poll sends the watchers the changes of configuration and state since its last call. The user of Owned calls it after
+// each transaction and several times a second; Set calls it itself.
 func (o *Owned) Poll() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(o.watchers) == 0 {
-		o.seen = nil
+		o.lastValues = nil
 		return
 	}
 	now, _ := o.List("")
-	if o.seen != nil {
+	if o.lastValues != nil {
 		var ops []store.Op
-		for _, p := range slices.Sorted(maps.Keys(o.seen)) {
+		for _, p := range slices.Sorted(maps.Keys(o.lastValues)) {
 			if _, ok := now[p]; !ok {
 				ops = append(ops, store.Op{Path: p, Delete: true})
 			}
 		}
 		for _, p := range slices.Sorted(maps.Keys(now)) {
-			if old, ok := o.seen[p]; !ok || old != now[p] {
+			if old, ok := o.lastValues[p]; !ok || old != now[p] {
 				ops = append(ops, store.Op{Path: p, Value: now[p]})
 			}
 		}
@@ -153,18 +157,18 @@
 			for c := range o.watchers {
 				select {
 				case c <- ops:
-				default: // it lags too far behind, and reads all of it again
+				default: // it lags too far behind, and has to watch again and read all values
 					delete(o.watchers, c)
 					close(c)
 				}
 			}
 		}
 	}
-	o.seen = now
+	o.lastValues = now
 }
 
-// user is who a client shows itself as: the name in its certificate.
-func user(ctx context.Context) string {
+// clientUser returns the user name of a client: the common name of its certificate, or "operator" without one.
+func clientUser(ctx context.Context) string {
 	if p, ok := peer.FromContext(ctx); ok {
 		if t, ok := p.AuthInfo.(credentials.TLSInfo); ok && len(t.State.PeerCertificates) > 0 {
 			return t.State.PeerCertificates[0].Subject.CommonName
@@ -173,54 +177,55 @@
 	return "operator"
 }
 
-// Set implements Source: one transaction, with the commit-confirmed extension.
-func (o *Owned) Set(ctx context.Context, ops []store.Op, c *gnmi_ext.Commit) error {
-	var who datastore.Session
+// Set implements Source as one transaction. It supports the commit-confirmed extension.
+func (o *Owned) Set(ctx context.Context, ops []store.Op, commit *gnmi_ext.Commit) error {
+	var session datastore.Session
 	err := o.owner.Do(func(s *datastore.Store) (err error) {
-		who, err = s.Open(user(ctx), "gnmi")
+		session, err = s.Open(clientUser(ctx), "gnmi")
 		return err
 	})
 	if err != nil {
-		return refused(err)
+		return txnStatus(err)
 	}
-	defer o.owner.Close(who.ID)
+	defer o.owner.Close(session.ID)
 	_, err = o.owner.Make(func(s *datastore.Store, at time.Time) (*datastore.Txn, error) {
-		return o.begin(s, who.ID, ops, c, at)
+		return o.beginTxn(s, session.ID, ops, commit, at)
 	})
 	if err != nil {
-		return refused(err)
+		return txnStatus(err)
 	}
 	o.Poll()
 	return nil
 }
 
-// begin begins the transaction of a Set.
-func (o *Owned) begin(s *datastore.Store, id datastore.SessionID, ops []store.Op, c *gnmi_ext.Commit, at time.Time) (*datastore.Txn, error) {
+// beginTxn begins the transaction of a Set: a change with or without a confirmed commit, an extension of its time-out,
+// its confirmation or its cancellation. The last three can't be combined with operations.
+func (o *Owned) beginTxn(s *datastore.Store, id datastore.SessionID, ops []store.Op, ext *gnmi_ext.Commit, at time.Time) (*datastore.Txn, error) {
 	var commit datastore.Commit
-	switch a := c.GetAction().(type) {
+	switch a := ext.GetAction().(type) {
 	case *gnmi_ext.Commit_Commit:
-		commit = datastore.Commit{Confirmed: true, Timeout: a.Commit.GetRollbackDuration().AsDuration(), Persist: c.GetId()}
+		commit = datastore.Commit{Confirmed: true, Timeout: a.Commit.GetRollbackDuration().AsDuration(), Persist: ext.GetId()}
 	case *gnmi_ext.Commit_SetRollbackDuration:
 		commit = datastore.Commit{Confirmed: true, Timeout: a.SetRollbackDuration.GetRollbackDuration().AsDuration(),
-			Persist: c.GetId(), PersistID: c.GetId()}
+			Persist: ext.GetId(), PersistID: ext.GetId()}
 	case *gnmi_ext.Commit_Confirm:
-		commit.PersistID = c.GetId()
+		commit.PersistID = ext.GetId()
 	case *gnmi_ext.Commit_Cancel:
-		return s.Cancel(id, c.GetId(), at)
+		return s.Cancel(id, ext.GetId(), at)
 	}
-	if c != nil && (c.GetId() == "" || c.GetAction() == nil) {
-		return nil, status.Error(codes.InvalidArgument, "commit: an id and an action are needed")
+	if ext != nil && (ext.GetId() == "" || ext.GetAction() == nil) {
+		return nil, status.Error(codes.InvalidArgument, "commit: an id and an action are required")
 	}
-	if _, first := c.GetAction().(*gnmi_ext.Commit_Commit); c != nil && !first && len(ops) > 0 {
-		return nil, status.Error(codes.InvalidArgument, "commit: nothing can be changed beside it")
+	if _, initial := ext.GetAction().(*gnmi_ext.Commit_Commit); ext != nil && !initial && len(ops) > 0 {
+		return nil, status.Error(codes.InvalidArgument, "commit: only a new commit request can be combined with changes")
 	}
 	return s.Swap(id, func(tree *schema.Node) error {
 		for _, op := range ops {
 			var err error
 			if op.Delete {
-				err = tree.Take(item(op.Path))
+				err = tree.Take(toItemPath(op.Path))
 			} else {
-				err = tree.Put(schema.Item{Path: item(op.Path), Value: op.Value})
+				err = tree.Put(schema.Item{Path: toItemPath(op.Path), Value: op.Value})
 			}
 			if err != nil {
 				return status.Error(codes.InvalidArgument, err.Error())
@@ -231,8 +236,8 @@
 	}, commit, at)
 }
 
-// refused is the gRPC status of what was not done.
-func refused(err error) error {
+// txnStatus returns the gRPC status for the error of a transaction that was not made.
+func txnStatus(err error) error {
 	if s, ok := status.FromError(err); ok {
 		return s.Err()
 	}
--- a/internal/mgmt/schema.go
+++ b/internal/mgmt/schema.go
@@ -1,4 +1,5 @@
-// Package mgmt is the management interface: gNMI on the replicated store, after the YANG model.
+// Package mgmt serves the gNMI management interface on the replicated store or the transactional configuration, as
+// described by the YANG models.
 package mgmt
 
 import (
@@ -15,18 +16,18 @@
 	model "brookmux/yang"
 )
 
-// Schema is the model, as paths and values are checked against it.
+// Schema is the tree of the YANG models that are served. Paths and values are checked against it.
 type Schema struct {
-	root    *yang.Entry
-	modules []*gnmi.ModelData
-	of      map[string]string // the module of each node at the top
-	checked bool              // values are checked by whoever takes them
+	root            *yang.Entry
+	modules         []*gnmi.ModelData
+	moduleOf        map[string]string // module name by the name of a top-level node
+	checkedBySource bool              // the Source checks values, so checkValue accepts all
 }
 
-// errNoNode tells that the model has no such node.
+// errNoNode reports that no model has a node at a path.
 var errNoNode = errors.New("no such node in the model")
 
-// NewSchema reads the model.
+// NewSchema returns the Schema of the module brookmux, whose values the Server checks itself.
 func NewSchema() (*Schema, error) {
 	set := yang.NewModules()
 	if err := set.Parse(model.Model, model.Module+".yang"); err != nil {
@@ -40,10 +41,11 @@
 		return nil, fmt.Errorf("mgmt: model: %w", errors.Join(errs...))
 	}
 	return &Schema{root: root, modules: []*gnmi.ModelData{{Name: model.Module, Organization: model.Organization,
-		Version: model.Revision}}, of: map[string]string{"border-control": model.Module}}, nil
+		Version: model.Revision}}, moduleOf: map[string]string{"border-control": model.Module}}, nil
 }
 
-// NewFullSchema reads all models as one tree, for a Source that checks values itself.
+// NewFullSchema returns a Schema with the top-level nodes of all modules of m in one tree, for a Source that checks
+// values itself.
 func NewFullSchema(m *schema.Model) (*Schema, error) {
 	set := yang.NewModules()
 	for _, x := range m.Modules {
@@ -54,56 +56,58 @@
 	if errs := set.Process(); len(errs) > 0 {
 		return nil, fmt.Errorf("mgmt: model: %w", errors.Join(errs...))
 	}
-	s := &Schema{root: &yang.Entry{Name: "root", Kind: yang.DirectoryEntry, Dir: map[string]*yang.Entry{}}, of: map[string]string{},
-		checked: true}
+	s := &Schema{root: &yang.Entry{Name: "root", Kind: yang.DirectoryEntry, Dir: map[string]*yang.Entry{}}, moduleOf: map[string]string{},
+		checkedBySource: true}
 	for _, x := range m.Modules {
 		e := yang.ToEntry(set.Modules[x.Name])
-		flatten(e)
+		flattenChoices(e)
 		s.modules = append(s.modules, &gnmi.ModelData{Name: x.Name, Organization: model.Organization, Version: x.Revision})
 		for name, top := range e.Dir {
-			s.root.Dir[name], s.of[name] = top, x.Name
+			s.root.Dir[name], s.moduleOf[name] = top, x.Name
 		}
 	}
-	for _, x := range below(s.root) { // a leafref's values are written as those of its target
+	for _, x := range subtree(s.root) { // a leafref has the value type of its target
 		if x.Type != nil && x.Type.Kind == yang.Yleafref {
-			to := x.Find(x.Type.Path)
-			if to == nil || to.Type == nil {
-				return nil, fmt.Errorf("mgmt: model: %s: leafref to no node: %s", x.Path(), x.Type.Path)
+			target := x.Find(x.Type.Path)
+			if target == nil || target.Type == nil {
+				return nil, fmt.Errorf("mgmt: model: %s: leafref to a missing node: %s", x.Path(), x.Type.Path)
 			}
-			x.Type = to.Type
+			x.Type = target.Type
 		}
 	}
 	return s, nil
 }
 
-// flatten puts the nodes of all cases in the place of their choices, which are no nodes of the data.
-func flatten(x *yang.Entry) {
+// flattenChoices replaces choice and case nodes by the data nodes under them, as choices and cases are not part of
+// data paths (RFC 7950, 7.9).
+func flattenChoices(x *yang.Entry) {
 	for name, c := range x.Dir {
-		flatten(c)
+		flattenChoices(c)
 		if c.IsChoice() || c.IsCase() {
 			delete(x.Dir, name)
-			for n, under := range c.Dir {
-				x.Dir[n] = under
+			for n, node := range c.Dir {
+				x.Dir[n] = node
 			}
 		}
 	}
 }
 
-// known tells whether a module is served.
-func (s *Schema) known(name string) bool {
+// hasModule reports whether a module is served.
+func (s *Schema) hasModule(name string) bool {
 	return slices.ContainsFunc(s.modules, func(m *gnmi.ModelData) bool { return m.GetName() == name })
 }
 
-// elem is an element of a path.
+// elem is an element of a path: a node name and, for a list, the values of its keys. Name and values may be wildcards
+// in a requested path.
 type elem struct {
 	name string
 	keys map[string]string
 }
 
-// path is a path from the root.
+// path is a path from the root of the tree. It is empty for the root.
 type path []elem
 
-// String writes a path as it is stored.
+// String returns the path in the form used in the store: keys are sorted, and \ and ] in their values are escaped.
 func (p path) String() string {
 	var b strings.Builder
 	for _, e := range p {
@@ -116,6 +120,7 @@
 	return b.String()
 }
 
+// sortedKeys returns the keys of m in ascending order.
 func sortedKeys(m map[string]string) []string {
 	out := make([]string, 0, len(m))
 	for k := range m {
@@ -125,7 +130,7 @@
 	return out
 }
 
-// parsePath reads a path as it is stored.
+// parsePath parses a path in the form that path.String writes.
 func parsePath(text string) path {
 	var p path
 	for text != "" {
@@ -155,21 +160,22 @@
 	return p
 }
 
-// fromGNMI joins a prefix and a path; module names before node names are left off.
-func (s *Schema) fromGNMI(prefix, tail *gnmi.Path) (path, error) {
+// pathFromGNMI joins a prefix and a path relative to it, and strips the module names before node names. It rejects
+// unknown origins and modules, but doesn't check that the nodes exist.
+func (s *Schema) pathFromGNMI(prefix, relative *gnmi.Path) (path, error) {
 	var p path
-	for _, part := range []*gnmi.Path{prefix, tail} {
-		//lint:ignore SA1019 the form that the protocol has withdrawn has to be refused by name
+	for _, part := range []*gnmi.Path{prefix, relative} {
+		//lint:ignore SA1019 the deprecated field has to be rejected explicitly
 		if len(part.GetElement()) > 0 {
-			return nil, errors.New("paths of the old form are not taken")
+			return nil, errors.New("the deprecated field element of paths is not supported")
 		}
-		if o := part.GetOrigin(); o != "" && !s.known(o) {
+		if o := part.GetOrigin(); o != "" && !s.hasModule(o) {
 			return nil, fmt.Errorf("unknown origin %q", o)
 		}
 		for _, e := range part.GetElem() {
 			name := e.GetName()
 			if module, rest, ok := strings.Cut(name, ":"); ok {
-				if !s.known(module) {
+				if !s.hasModule(module) {
 					return nil, fmt.Errorf("unknown module %q", module)
 				}
 				name = rest
@@ -183,8 +189,8 @@
 	return p, nil
 }
 
-// gnmi writes a path as a message.
-func (p path) gnmi() *gnmi.Path {
+// toGNMI returns the path as a gNMI message.
+func (p path) toGNMI() *gnmi.Path {
 	out := &gnmi.Path{}
 	for _, e := range p {
 		out.Elem = append(out.Elem, &gnmi.PathElem{Name: e.name, Key: e.keys})
@@ -192,8 +198,8 @@
 	return out
 }
 
-// wild tells whether a path may name more than one node.
-func (p path) wild() bool {
+// hasWildcard reports whether a path contains a wildcard, so that it may name more than one node.
+func (p path) hasWildcard() bool {
 	return slices.ContainsFunc(p, func(e elem) bool {
 		if e.name == "*" || e.name == "..." {
 			return true
@@ -207,7 +213,8 @@
 	})
 }
 
-// covers tells whether a stored path is the node that p names, or lies under it.
+// covers reports whether the node of a stored path matches p or lies under a node that does. An element "..." of p
+// matches any number of elements, "*" one element or key value, and a missing key any value.
 func (p path) covers(stored path) bool {
 	if len(p) == 0 {
 		return true
@@ -231,15 +238,15 @@
 	return p[1:].covers(stored[1:])
 }
 
-// entries returns the model's nodes that a path names.
+// entries returns the schema nodes that a path names, or errNoNode if there are none.
 func (s *Schema) entries(p path) ([]*yang.Entry, error) {
-	at := []*yang.Entry{s.root}
+	nodes := []*yang.Entry{s.root}
 	for _, e := range p {
 		var next []*yang.Entry
-		for _, x := range at {
+		for _, x := range nodes {
 			switch e.name {
 			case "...":
-				next = append(next, below(x)...)
+				next = append(next, subtree(x)...)
 			case "*":
 				for _, c := range x.Dir {
 					next = append(next, c)
@@ -255,25 +262,25 @@
 				return !x.IsList() || !slices.Contains(strings.Fields(x.Key), k)
 			})
 		}
-		if at = next; len(at) == 0 {
+		if nodes = next; len(nodes) == 0 {
 			return nil, fmt.Errorf("%w: %s", errNoNode, p)
 		}
 	}
-	return at, nil
+	return nodes, nil
 }
 
-// below returns a node and all under it.
-func below(x *yang.Entry) []*yang.Entry {
+// subtree returns a node and all its descendants.
+func subtree(x *yang.Entry) []*yang.Entry {
 	out := []*yang.Entry{x}
 	for _, c := range x.Dir {
-		out = append(out, below(c)...)
+		out = append(out, subtree(c)...)
 	}
 	return out
 }
 
-// entry returns the one node that a path without wild cards names.
+// entry returns the schema node that a path names. It rejects paths with wildcards.
 func (s *Schema) entry(p path) (*yang.Entry, error) {
-	if p.wild() {
+	if p.hasWildcard() {
 		return nil, fmt.Errorf("%s names more than one node", p)
 	}
 	x, err := s.entries(p)
@@ -283,17 +290,18 @@
 	return x[0], nil
 }
 
-// defaults returns the leaves of the configuration that have one, with it.
+// defaults returns the default values of configuration leaves by path. It leaves out leaves under lists, which have
+// no path without an entry.
 func (s *Schema) defaults() map[string]string {
 	out := map[string]string{}
-	var walk func(x *yang.Entry, at path)
-	walk = func(x *yang.Entry, at path) {
+	var walk func(x *yang.Entry, p path)
+	walk = func(x *yang.Entry, p path) {
 		if v := x.DefaultValues(); x.IsLeaf() && len(v) == 1 && !x.ReadOnly() {
-			out[at.String()] = v[0]
+			out[p.String()] = v[0]
 		}
 		for name, c := range x.Dir {
 			if !c.IsList() {
-				walk(c, append(slices.Clone(at), elem{name: name}))
+				walk(c, append(slices.Clone(p), elem{name: name}))
 			}
 		}
 	}
@@ -301,26 +309,26 @@
 	return out
 }
 
-// check tells whether a text is a value of a leaf.
-func (s *Schema) check(x *yang.Entry, text string) error {
-	if s.checked {
+// checkValue returns an error if text is not a valid value of the leaf x.
+func (s *Schema) checkValue(x *yang.Entry, text string) error {
+	if s.checkedBySource {
 		return nil
 	}
 	t := x.Type
-	bad := fmt.Errorf("%s: %q is not a value of type %s", x.Name, text, t.Name)
+	errInvalid := fmt.Errorf("%s: %q is not a value of type %s", x.Name, text, t.Name)
 	switch t.Kind {
 	case yang.Yenum:
 		if !t.Enum.IsDefined(text) {
-			return bad
+			return errInvalid
 		}
 	case yang.Ybool:
 		if text != "true" && text != "false" {
-			return bad
+			return errInvalid
 		}
 	case yang.Yint8, yang.Yint16, yang.Yint32, yang.Yint64, yang.Yuint8, yang.Yuint16, yang.Yuint32, yang.Yuint64:
 		n, err := yang.ParseInt(text)
 		if err != nil || text != n.String() {
-			return bad
+			return errInvalid
 		}
 		if r := (yang.YangRange{{Min: n, Max: n}}); len(t.Range) > 0 && !t.Range.Contains(r) {
 			return fmt.Errorf("%s: %s is outside %s", x.Name, text, t.Range)
@@ -328,7 +336,7 @@
 	case yang.Ystring:
 		r := yang.YangRange{{Min: yang.FromInt(int64(len(text))), Max: yang.FromInt(int64(len(text)))}}
 		if len(t.Length) > 0 && !t.Length.Contains(r) {
-			return bad
+			return errInvalid
 		}
 	default:
 		return fmt.Errorf("%s: values of type %s can't be set", x.Name, t.Name)
@@ -336,8 +344,8 @@
 	return nil
 }
 
-// bare tells whether JSON writes a leaf's value without quotes (RFC 7951: 64-bit numbers have them).
-func bare(x *yang.Entry) bool {
+// unquotedJSON reports whether JSON writes the value of a leaf without quotes (RFC 7951 quotes 64-bit numbers).
+func unquotedJSON(x *yang.Entry) bool {
 	switch x.Type.Kind {
 	case yang.Ybool, yang.Yint8, yang.Yint16, yang.Yint32, yang.Yuint8, yang.Yuint16, yang.Yuint32:
 		return true
@@ -345,8 +353,8 @@
 	return false
 }
 
-// typed is a leaf's value as gNMI's own types write it.
-func typed(x *yang.Entry, text string) *gnmi.TypedValue {
+// typedValue returns the value of a leaf as a gNMI scalar: a bool, a number or a string.
+func typedValue(x *yang.Entry, text string) *gnmi.TypedValue {
 	switch x.Type.Kind {
 	case yang.Ybool:
 		return &gnmi.TypedValue{Value: &gnmi.TypedValue_BoolVal{BoolVal: text == "true"}}
--- a/internal/mgmt/subscribe.go
+++ b/internal/mgmt/subscribe.go
@@ -13,18 +13,19 @@
 	"brookmux/internal/store"
 )
 
-const leastSample = time.Second // the shortest interval of samples that is given
+const minSampleInterval = time.Second // minimum interval of samples and heartbeats; shorter requests are raised to it
 
-// subscription is one path of a subscriber.
+// subscription is one subscribed path of a subscriber.
 type subscription struct {
-	path     path
-	onChange bool
-	every    time.Duration // between samples or heartbeats, 0 for none
-	changed  bool          // samples leave out what has not changed
-	last     map[string]string
+	path              path
+	onChange          bool              // send changes as they happen, else samples
+	interval          time.Duration     // between samples or heartbeats, 0 for none
+	suppressRedundant bool              // leave out values that have not changed since lastSent
+	lastSent          map[string]string // values by path at the last sample or heartbeat
 }
 
-// Subscribe tells values once, when polled, or as they change.
+// Subscribe implements gnmi.GNMIServer. It sends values once, on each poll, or as they change and at intervals. A
+// subscriber that lags too far behind the changes gets ResourceExhausted and has to subscribe again.
 func (s *Server) Subscribe(stream gnmi.GNMI_SubscribeServer) error {
 	r, err := stream.Recv()
 	if err != nil {
@@ -32,69 +33,69 @@
 	}
 	list := r.GetSubscribe()
 	if list == nil {
-		return status.Error(codes.InvalidArgument, "the first message has to subscribe")
+		return status.Error(codes.InvalidArgument, "the first message must contain a subscription list")
 	}
-	subs, err := s.subscriptions(list)
+	subs, err := s.parseSubscriptions(list)
 	if err != nil {
 		return err
 	}
-	// Watched before the first values are read: no change falls between.
-	changes, cancel := s.store.Watch()
+	// Watch before the first read, so that no change between the two is missed.
+	changes, cancel := s.source.Watch()
 	defer cancel()
-	w := &writer{server: s, stream: stream, encoding: list.GetEncoding()}
-	if err := w.all(subs, list.GetUpdatesOnly()); err != nil {
+	w := &streamWriter{server: s, stream: stream, encoding: list.GetEncoding()}
+	if err := w.sendAll(subs, list.GetUpdatesOnly()); err != nil {
 		return err
 	}
 	switch list.GetMode() {
 	case gnmi.SubscriptionList_ONCE:
 		return nil
 	case gnmi.SubscriptionList_POLL:
-		return w.poll(subs)
+		return w.servePolls(subs)
 	}
-	return w.follow(subs, changes)
+	return w.streamChanges(subs, changes)
 }
 
-// subscriptions reads what is subscribed to.
-func (s *Server) subscriptions(list *gnmi.SubscriptionList) ([]*subscription, error) {
-	if err := encodes(list.GetEncoding()); err != nil {
+// parseSubscriptions checks a subscription list and returns its subscriptions.
+func (s *Server) parseSubscriptions(list *gnmi.SubscriptionList) ([]*subscription, error) {
+	if err := checkEncoding(list.GetEncoding()); err != nil {
 		return nil, err
 	}
-	if err := s.schema.serves(list.GetUseModels()); err != nil {
+	if err := s.schema.checkModels(list.GetUseModels()); err != nil {
 		return nil, err
 	}
 	if len(list.GetSubscription()) == 0 {
-		return nil, status.Error(codes.InvalidArgument, "nothing is subscribed to")
+		return nil, status.Error(codes.InvalidArgument, "the subscription list is empty")
 	}
 	var out []*subscription
-	for _, one := range list.GetSubscription() {
-		p, err := s.schema.fromGNMI(list.GetPrefix(), one.GetPath())
+	for _, requested := range list.GetSubscription() {
+		p, err := s.schema.pathFromGNMI(list.GetPrefix(), requested.GetPath())
 		if err == nil {
 			_, err = s.schema.entries(p)
 		}
 		if err != nil {
-			return nil, wrong(err)
+			return nil, modelStatus(err)
 		}
-		x := &subscription{path: p, onChange: one.GetMode() != gnmi.SubscriptionMode_SAMPLE,
-			changed: one.GetSuppressRedundant(), every: time.Duration(one.GetHeartbeatInterval())}
+		x := &subscription{path: p, onChange: requested.GetMode() != gnmi.SubscriptionMode_SAMPLE,
+			suppressRedundant: requested.GetSuppressRedundant(), interval: time.Duration(requested.GetHeartbeatInterval())}
 		if !x.onChange {
-			x.every = max(leastSample, time.Duration(one.GetSampleInterval()))
-		} else if x.every > 0 {
-			x.every = max(leastSample, x.every)
+			x.interval = max(minSampleInterval, time.Duration(requested.GetSampleInterval()))
+		} else if x.interval > 0 {
+			x.interval = max(minSampleInterval, x.interval)
 		}
 		out = append(out, x)
 	}
 	return out, nil
 }
 
-// writer writes to a subscriber.
-type writer struct {
+// streamWriter sends notifications to one subscriber.
+type streamWriter struct {
 	server   *Server
 	stream   gnmi.GNMI_SubscribeServer
 	encoding gnmi.Encoding
 }
 
-// notify sends updates and deletes, if there are any.
-func (w *writer) notify(n *gnmi.Notification) error {
+// notify sends a notification with the current time, unless it has neither updates nor deletes.
+func (w *streamWriter) notify(n *gnmi.Notification) error {
 	if len(n.GetUpdate())+len(n.GetDelete()) == 0 {
 		return nil
 	}
@@ -102,10 +103,10 @@
 	return w.stream.Send(&gnmi.SubscribeResponse{Response: &gnmi.SubscribeResponse_Update{Update: n}})
 }
 
-// all sends the present values, unless only changes are wanted, and that they are all.
-func (w *writer) all(subs []*subscription, none bool) error {
+// sendAll sends the current values, unless updatesOnly is set, and then the sync response.
+func (w *streamWriter) sendAll(subs []*subscription, updatesOnly bool) error {
 	for _, x := range subs {
-		if n := w.values(x); !none {
+		if n := w.currentValues(x); !updatesOnly {
 			if err := w.notify(n); err != nil {
 				return err
 			}
@@ -114,23 +115,24 @@
 	return w.stream.Send(&gnmi.SubscribeResponse{Response: &gnmi.SubscribeResponse_SyncResponse{SyncResponse: true}})
 }
 
-// values are a subscription's present values, or those that are not as sent last.
-func (w *writer) values(x *subscription) *gnmi.Notification {
+// currentValues returns the current values of a subscription, or with suppressRedundant only those that differ from the
+// values at its last call.
+func (w *streamWriter) currentValues(x *subscription) *gnmi.Notification {
 	n := &gnmi.Notification{}
-	now := map[string]string{}
-	for _, l := range w.server.under(w.stream.Context(), x.path, func(*yang.Entry) bool { return true }) {
-		text := l.path.String()
-		now[text] = l.text
-		if last, ok := x.last[text]; !ok || last != l.text || !x.changed {
-			n.Update = append(n.Update, l.update(w.encoding))
+	current := map[string]string{}
+	for _, l := range w.server.leavesUnder(w.stream.Context(), x.path, func(*yang.Entry) bool { return true }) {
+		key := l.path.String()
+		current[key] = l.value
+		if last, ok := x.lastSent[key]; !ok || last != l.value || !x.suppressRedundant {
+			n.Update = append(n.Update, l.toUpdate(w.encoding))
 		}
 	}
-	x.last = now
+	x.lastSent = current
 	return n
 }
 
-// poll sends the values whenever the subscriber asks.
-func (w *writer) poll(subs []*subscription) error {
+// servePolls sends the values on each poll message, until the subscriber closes its side of the stream.
+func (w *streamWriter) servePolls(subs []*subscription) error {
 	for {
 		r, err := w.stream.Recv()
 		if errors.Is(err, io.EOF) {
@@ -140,22 +142,23 @@
 			return err
 		}
 		if r.GetPoll() == nil {
-			return status.Error(codes.InvalidArgument, "only polls may follow")
+			return status.Error(codes.InvalidArgument, "only poll messages may follow the subscription list")
 		}
-		if err := w.all(subs, false); err != nil {
+		if err := w.sendAll(subs, false); err != nil {
 			return err
 		}
 	}
 }
 
-// follow sends changes as they happen, and samples and heartbeats when they are due.
-func (w *writer) follow(subs []*subscription, changes <-chan []store.Op) error {
+// streamChanges sends changes as they happen, and samples and heartbeats when they are due, until the stream ends or
+// the subscriber lags too far behind.
+func (w *streamWriter) streamChanges(subs []*subscription, changes <-chan []store.Op) error {
 	ctx := w.stream.Context()
 	due := make(chan *subscription)
 	for _, x := range subs {
-		if x.every > 0 {
+		if x.interval > 0 {
 			go func() {
-				tick := time.NewTicker(x.every)
+				tick := time.NewTicker(x.interval)
 				defer tick.Stop()
 				for {
 					select {
@@ -178,12 +181,12 @@
 		case <-ctx.Done():
 			return status.FromContextError(ctx.Err()).Err()
 		case x := <-due:
-			n = w.values(x)
+			n = w.currentValues(x)
 		case ops, open := <-changes:
 			if !open {
 				return status.Error(codes.ResourceExhausted, "the subscriber lags too far behind")
 			}
-			n = w.changed(subs, ops)
+			n = w.changeNotification(subs, ops)
 		}
 		if err := w.notify(n); err != nil {
 			return err
@@ -191,43 +194,44 @@
 	}
 }
 
-// changed turns a change of the store into what the subscribers of changes are told. A leaf that is deleted
-// and has a default is from then on that default.
-func (w *writer) changed(subs []*subscription, ops []store.Op) *gnmi.Notification {
+// changeNotification returns the notification of a change to the on-change subscriptions that it concerns. If a path
+// occurs several times in ops, the last operation counts. A deleted leaf that has a default is an update to that
+// default.
+func (w *streamWriter) changeNotification(subs []*subscription, ops []store.Op) *gnmi.Notification {
 	n := &gnmi.Notification{}
-	last := map[string]store.Op{}
+	latest := map[string]store.Op{}
 	var order []string
-	readable := w.server.store.Readable(w.stream.Context())
+	readable := w.server.source.Readable(w.stream.Context())
 	for _, op := range ops {
 		if !readable(op.Path) {
 			continue
 		}
-		if _, ok := last[op.Path]; !ok {
+		if _, ok := latest[op.Path]; !ok {
 			order = append(order, op.Path)
 		}
-		last[op.Path] = op
+		latest[op.Path] = op
 	}
 	defaults := w.server.schema.defaults()
-	for _, text := range order {
-		op, p := last[text], parsePath(text)
+	for _, key := range order {
+		op, p := latest[key], parsePath(key)
 		x, err := w.server.schema.entry(p)
-		if err != nil || !wanted(subs, p) {
+		if err != nil || !subscribedOnChange(subs, p) {
 			continue
 		}
-		if d, ok := defaults[text]; op.Delete && ok {
-			op = store.Op{Path: text, Value: d}
+		if d, ok := defaults[key]; op.Delete && ok {
+			op = store.Op{Path: key, Value: d}
 		}
 		if op.Delete {
-			n.Delete = append(n.Delete, p.gnmi())
+			n.Delete = append(n.Delete, p.toGNMI())
 		} else {
-			n.Update = append(n.Update, leaf{p, x, op.Value}.update(w.encoding))
+			n.Update = append(n.Update, leaf{p, x, op.Value}.toUpdate(w.encoding))
 		}
 	}
 	return n
 }
 
-// wanted tells whether a subscriber of changes is told of a path.
-func wanted(subs []*subscription, p path) bool {
+// subscribedOnChange reports whether an on-change subscription covers a path.
+func subscribedOnChange(subs []*subscription, p path) bool {
 	for _, x := range subs {
 		if x.onChange && x.path.covers(p) {
 			return true
