--- a/internal/mgmt/owned.go
+++ b/internal/mgmt/owned.go
@@ -214,10 +214,10 @@
 		return s.Cancel(id, ext.GetId(), at)
 	}
 	if ext != nil && (ext.GetId() == "" || ext.GetAction() == nil) {
-		return nil, status.Error(codes.InvalidArgument, "commit: an id and an action are required")
+		return nil, status.Error(codes.InvalidArgument, "commit: an id and an action are needed")
 	}
 	if _, initial := ext.GetAction().(*gnmi_ext.Commit_Commit); ext != nil && !initial && len(ops) > 0 {
-		return nil, status.Error(codes.InvalidArgument, "commit: only a new commit request can be combined with changes")
+		return nil, status.Error(codes.InvalidArgument, "commit: nothing can be changed beside it")
 	}
 	return s.Swap(id, func(tree *schema.Node) error {
 		for _, op := range ops {
--- a/internal/mgmt/schema.go
+++ b/internal/mgmt/schema.go
@@ -167,7 +167,7 @@
 	for _, part := range []*gnmi.Path{prefix, relative} {
 		//lint:ignore SA1019 the deprecated field has to be rejected explicitly
 		if len(part.GetElement()) > 0 {
-			return nil, errors.New("the deprecated field element of paths is not supported")
+			return nil, errors.New("paths of the old form are not taken")
 		}
 		if o := part.GetOrigin(); o != "" && !s.hasModule(o) {
 			return nil, fmt.Errorf("unknown origin %q", o)
--- a/internal/mgmt/server.go
+++ b/internal/mgmt/server.go
@@ -95,7 +95,7 @@
 	if e == gnmi.Encoding_JSON || e == gnmi.Encoding_JSON_IETF || e == gnmi.Encoding_PROTO {
 		return nil
 	}
-	return status.Errorf(codes.Unimplemented, "unsupported encoding %v", e)
+	return status.Errorf(codes.Unimplemented, "encoding %v", e)
 }
 
 // valuesWithDefaults returns the source's values by path, with the defaults of configuration leaves that are not set.
@@ -163,7 +163,7 @@
 		n := &gnmi.Notification{Timestamp: time.Now().UnixNano()}
 		switch {
 		case len(leaves) == 0:
-			return nil, status.Errorf(codes.NotFound, "no data at %s", p)
+			return nil, status.Errorf(codes.NotFound, "nothing at %s", p)
 		case p.hasWildcard() || r.GetEncoding() == gnmi.Encoding_PROTO || nodes[0].IsLeaf() || nodes[0].IsList() && !hasAllKeys(p, nodes[0]):
 			for _, l := range leaves {
 				n.Update = append(n.Update, l.toUpdate(r.GetEncoding()))
@@ -181,7 +181,7 @@
 func (s *Schema) checkModels(models []*gnmi.ModelData) error {
 	for _, m := range models {
 		if !s.hasModule(m.GetName()) {
-			return status.Errorf(codes.Unimplemented, "unsupported model %q", m.GetName())
+			return status.Errorf(codes.Unimplemented, "model %q", m.GetName())
 		}
 	}
 	return nil
@@ -294,7 +294,7 @@
 	}
 	if len(r.GetUnionReplace()) > 0 {
 		if len(change.Ops)+len(resp.Response) > 0 || !s.schema.checkedBySource {
-			return nil, status.Error(codes.Unimplemented, "union_replace can't be combined with other operations")
+			return nil, status.Error(codes.Unimplemented, "union_replace beside other changes")
 		}
 		for p := range s.schema.root.Dir { // the union of the given values replaces all of the configuration
 			if ops, err := s.storeOps(nil, path{{name: p}}.toGNMI(), nil, gnmi.UpdateResult_DELETE); err == nil {
@@ -370,10 +370,10 @@
 	case *gnmi.TypedValue_BoolVal:
 		text = map[bool]string{true: "true", false: "false"}[t.BoolVal]
 	default:
-		return nil, errors.New(p.String() + ": no value, or a value of an unsupported type")
+		return nil, errors.New(p.String() + ": no value, or one of a type that is not taken")
 	}
 	if !x.IsLeaf() {
-		return nil, errors.New(p.String() + " is not a leaf: its value must be JSON")
+		return nil, errors.New(p.String() + " is no leaf: its value has to be JSON")
 	}
 	return append(out, store.Op{Path: p.String(), Value: text}), s.schema.checkValue(x, text)
 }
@@ -399,10 +399,10 @@
 		case fastjson.TypeString:
 		case fastjson.TypeNumber, fastjson.TypeTrue, fastjson.TypeFalse:
 			if text = v.String(); !unquotedJSON(x) {
-				return nil, errors.New(p.String() + ": a string is required")
+				return nil, errors.New(p.String() + ": a string is needed")
 			}
 		default:
-			return nil, errors.New(p.String() + ": a single value is required")
+			return nil, errors.New(p.String() + ": one value is needed")
 		}
 		return append(out, store.Op{Path: p.String(), Value: text}), s.schema.checkValue(x, text)
 	}
@@ -411,7 +411,7 @@
 			entryPath := append(slices.Clone(p[:len(p)-1]), elem{p[len(p)-1].name, map[string]string{}})
 			for _, k := range strings.Fields(x.Key) {
 				if key := entry.Get(k); key == nil {
-					return nil, errors.New(p.String() + ": a list entry has no key " + k)
+					return nil, errors.New(p.String() + ": an entry has no " + k)
 				} else if key.Type() == fastjson.TypeString {
 					entryPath[len(entryPath)-1].keys[k] = string(key.GetStringBytes())
 				} else {
@@ -427,7 +427,7 @@
 	}
 	object, err := v.Object()
 	if err != nil || x.IsList() && !hasAllKeys(p, x) {
-		return nil, errors.New(p.String() + ": an object or, for a list, an array of entries is required")
+		return nil, errors.New(p.String() + ": an object is needed, or an array of a list's entries")
 	}
 	object.Visit(func(key []byte, member *fastjson.Value) {
 		name := string(key)
--- a/internal/mgmt/subscribe.go
+++ b/internal/mgmt/subscribe.go
@@ -33,7 +33,7 @@
 	}
 	list := r.GetSubscribe()
 	if list == nil {
-		return status.Error(codes.InvalidArgument, "the first message must contain a subscription list")
+		return status.Error(codes.InvalidArgument, "the first message has to subscribe")
 	}
 	subs, err := s.parseSubscriptions(list)
 	if err != nil {
@@ -64,7 +64,7 @@
 		return nil, err
 	}
 	if len(list.GetSubscription()) == 0 {
-		return nil, status.Error(codes.InvalidArgument, "the subscription list is empty")
+		return nil, status.Error(codes.InvalidArgument, "nothing is subscribed to")
 	}
 	var out []*subscription
 	for _, requested := range list.GetSubscription() {
@@ -142,7 +142,7 @@
 			return err
 		}
 		if r.GetPoll() == nil {
-			return status.Error(codes.InvalidArgument, "only poll messages may follow the subscription list")
+			return status.Error(codes.InvalidArgument, "only polls may follow")
 		}
 		if err := w.sendAll(subs, false); err != nil {
 			return err
