--- a/internal/datastore/commit.go
+++ b/internal/datastore/commit.go
@@ -9,131 +9,135 @@
 	"brookmux/internal/schema"
 )
 
-// Kind is what a transaction is for.
+// Kind is the purpose of a transaction. Its values are stored in the journal and shown in the history.
 type Kind string
 
-// The kinds.
+// The kinds of transactions.
 const (
 	KindCommit   Kind = "commit"   // a new running configuration
-	KindConfirm  Kind = "confirm"  // the waiting commit stays; nothing changes
-	KindRevert   Kind = "revert"   // the waiting commit is taken back
-	KindRollback Kind = "rollback" // an earlier revision is in force again
+	KindConfirm  Kind = "confirm"  // confirms the pending commit; changes no data
+	KindRevert   Kind = "revert"   // reverts the pending commit, or one that could not be applied
+	KindRollback Kind = "rollback" // restores an earlier revision
 	KindStartup  Kind = "startup"  // a new startup configuration
-	KindBase     Kind = "base"     // all of it, in place of older records
+	KindBase     Kind = "base"     // a full snapshot that replaces older records
 )
 
-// Record is a transaction as it is kept: what it changed, and who did so when. One record is durable as a whole or
-// not at all, and the order of their numbers is that in which they took effect.
+// Record is the stored form of a transaction: what it changed, who made it and when. A record is durable as a whole or
+// not at all. Records are numbered without gaps in the order in which they took effect.
 type Record struct {
-	N       uint64          `json:"n"` // the revision that it makes; every record makes one
+	N       uint64          `json:"n"` // the revision that it creates; every record creates one
 	Kind    Kind            `json:"kind"`
-	Of      uint64          `json:"of,omitempty"` // the revision that is in force again
+	Of      uint64          `json:"of,omitempty"` // of a rollback or revert: the revision that it restores
 	Session SessionID       `json:"session,omitempty"`
 	User    string          `json:"user,omitempty"`
 	Via     string          `json:"via,omitempty"`
 	At      time.Time       `json:"at"`
 	Comment string          `json:"comment,omitempty"`
-	Timeout time.Duration   `json:"timeout,omitempty"` // of a commit that waits for its confirmation, in nanoseconds
+	Timeout time.Duration   `json:"timeout,omitempty"` // of a confirmed commit, in nanoseconds; 0 for any other
 	Persist string          `json:"persist,omitempty"`
-	Before  uint64          `json:"before,omitempty"` // the revision that it goes back to without one
+	Before  uint64          `json:"before,omitempty"` // of a confirmed commit: the revision restored if it is not confirmed
 	Changes []schema.Change `json:"changes,omitempty"`
-	Items   []schema.Item   `json:"items,omitempty"`   // of a base: running
-	Startup []schema.Item   `json:"startup,omitempty"` // of a base
+	Items   []schema.Item   `json:"items,omitempty"`   // of a base: the content of running
+	Startup []schema.Item   `json:"startup,omitempty"` // of a base: the content of startup
 }
 
-// Txn is a transaction under way. Its Record is made durable between Ready and Made; then New takes effect.
+// Txn is a transaction in progress. The owner of the Store makes its Record durable between CheckReady and Complete;
+// New is then the running configuration.
 type Txn struct {
 	Record
-	Old, New *schema.Node // running before and after; not to be changed
-	fresh    bool         // the candidate is what running is once it is made
-	startup  *schema.Node // of KindStartup
+	Old, New        *schema.Node // running before and after; read-only
+	resetsCandidate bool         // the candidate becomes a copy of running on completion
+	startup         *schema.Node // of KindStartup: the new startup configuration
 }
 
-// confirmation is a commit that waits for one (RFC 6241, 8.4).
+// confirmation describes a confirmed commit that is not yet confirmed (RFC 6241, 8.4).
 type confirmation struct {
-	before  uint64 // the revision that is in force again without it
-	session SessionID
-	persist string
-	until   time.Time
+	revertTo uint64 // the revision to restore if it is not confirmed
+	session  SessionID
+	persist  string
+	deadline time.Time
 }
 
-// Commit is how the candidate is committed (RFC 6241, 8.3.4.1 and 8.4.5).
+// Commit holds the parameters of a commit (RFC 6241, 8.3.4.1 and 8.4.5).
 type Commit struct {
 	Confirmed bool
-	Timeout   time.Duration // 0 is ten minutes
-	Persist   string        // the commit outlives its session, and is confirmed by this
-	PersistID string        // of the waiting commit
+	Timeout   time.Duration // to the confirmation; 0 for the default of ten minutes
+	Persist   string        // if set, the commit outlives its session and is confirmed with this value
+	PersistID string        // the persist value of the pending commit
 	Comment   string
 }
 
-const defaultTimeout = 10 * time.Minute
+const defaultConfirmTimeout = 10 * time.Minute // RFC 6241, 8.4.1
 
-// commitable tells whether a session may make a transaction of running.
-func (s *Store) commitable(id SessionID, persist string) error {
-	if err := s.free(id, Running); err != nil {
+// checkCommit returns an error if a session may not begin a transaction on running: another session holds the lock,
+// another transaction is in progress, or a pending commit belongs to another session or needs another persist-id.
+func (s *Store) checkCommit(id SessionID, persist string) error {
+	if err := s.checkLock(id, Running); err != nil {
 		return err
 	}
-	if s.under != nil {
-		return wrong(schema.InUse, "", "transaction %d is under way", s.under.N)
+	if s.inProgress != nil {
+		return newError(schema.InUse, "", "transaction %d is under way", s.inProgress.N)
 	}
-	w := s.waits
+	conf := s.pending
 	switch {
-	case w == nil && persist != "":
-		return wrong(schema.InvalidValue, "", "no commit waits for a confirmation")
-	case w != nil && w.persist != "" && w.persist != persist:
-		e := wrong(schema.InvalidValue, "", "a commit waits for a confirmation with its persist-id")
-		e.Holder = w.session
+	case conf == nil && persist != "":
+		return newError(schema.InvalidValue, "", "no commit waits for a confirmation")
+	case conf != nil && conf.persist != "" && conf.persist != persist:
+		e := newError(schema.InvalidValue, "", "a commit waits for a confirmation with its persist-id")
+		e.Holder = conf.session
 		return e
-	case w != nil && w.persist == "" && w.session != id:
-		e := wrong(schema.InUse, "", "a commit of session %d waits for its confirmation", w.session)
-		e.Holder = w.session
+	case conf != nil && conf.persist == "" && conf.session != id:
+		e := newError(schema.InUse, "", "a commit of session %d waits for its confirmation", conf.session)
+		e.Holder = conf.session
 		return e
 	}
 	return nil
 }
 
-// Commit begins the transaction that makes running what the candidate is, or confirms one that waits.
+// Commit begins the transaction that copies the candidate to running. It also confirms the pending commit, if there is
+// one, unless it is a confirmed commit itself and extends it.
 func (s *Store) Commit(id SessionID, c Commit, at time.Time) (*Txn, error) {
-	if err := s.commitable(id, c.PersistID); err != nil {
+	if err := s.checkCommit(id, c.PersistID); err != nil {
 		return nil, err
 	}
-	if err := s.free(id, Candidate); err != nil {
+	if err := s.checkLock(id, Candidate); err != nil {
 		return nil, err
 	}
 	t, err := s.begin(id, s.candidate, at, c.Comment)
 	if err != nil {
 		return nil, err
 	}
-	t.fresh = true
-	s.confirms(t, c)
+	t.resetsCandidate = true
+	s.setConfirmation(t, c)
 	return t, nil
 }
 
-// confirms says what a transaction means for the confirmation of this or an earlier one.
-func (s *Store) confirms(t *Txn, c Commit) {
+// setConfirmation sets the confirmation parameters of a confirmed commit. Any other commit confirms the pending one; it
+// is of KindConfirm if it changes nothing.
+func (s *Store) setConfirmation(t *Txn, c Commit) {
 	if c.Confirmed {
 		if t.Timeout = c.Timeout; t.Timeout <= 0 {
-			t.Timeout = defaultTimeout
+			t.Timeout = defaultConfirmTimeout
 		}
 		t.Persist, t.Before = c.Persist, t.N-1
-		if s.waits != nil { // one commit is extended: the way back is that of the first
-			t.Before = s.waits.before
+		if s.pending != nil { // extends the pending commit: revert to the revision before the first one
+			t.Before = s.pending.revertTo
 		}
-	} else if s.waits != nil && len(t.Changes) == 0 {
+	} else if s.pending != nil && len(t.Changes) == 0 {
 		t.Kind = KindConfirm
 	}
 }
 
-// Change begins a transaction of running without the candidate: an edit of running, or a gNMI Set, which may wait
-// for a confirmation as a commit does.
+// Change begins a transaction that edits running directly, without the candidate. Like a commit, it may require a
+// confirmation.
 func (s *Store) Change(id SessionID, e Edit, c Commit, at time.Time) (*Txn, error) {
-	if err := s.commitable(id, c.PersistID); err != nil {
+	if err := s.checkCommit(id, c.PersistID); err != nil {
 		return nil, err
 	}
 	if e.OnError != RollbackOnError {
-		e.OnError = StopOnError // a transaction is made whole, or not at all
+		e.OnError = StopOnError // any fault fails the whole transaction
 	}
-	e.Test = Set // begin validates
+	e.Test = Set // begin validates the result
 	next := s.running.Clone()
 	if faults := e.apply(next); len(faults) > 0 {
 		return nil, &Error{Faults: faults}
@@ -142,13 +146,13 @@
 	if err != nil {
 		return nil, err
 	}
-	s.confirms(t, c)
+	s.setConfirmation(t, c)
 	return t, nil
 }
 
-// Swap is Change by a function that changes a copy of running.
+// Swap is like Change, but f makes the change, on a copy of running. gNMI Set uses it.
 func (s *Store) Swap(id SessionID, f func(*schema.Node) error, c Commit, at time.Time) (*Txn, error) {
-	if err := s.commitable(id, c.PersistID); err != nil {
+	if err := s.checkCommit(id, c.PersistID); err != nil {
 		return nil, err
 	}
 	next := s.running.Clone()
@@ -159,42 +163,42 @@
 	if err != nil {
 		return nil, err
 	}
-	s.confirms(t, c)
+	s.setConfirmation(t, c)
 	return t, nil
 }
 
-// Copy begins the transaction that puts a whole configuration in the place of running or startup.
+// Copy begins the transaction that replaces running or startup with a complete configuration.
 func (s *Store) Copy(id SessionID, to Target, tree *schema.Node, at time.Time) (*Txn, error) {
 	if to == Running {
-		if err := s.commitable(id, ""); err != nil {
+		if err := s.checkCommit(id, ""); err != nil {
 			return nil, err
 		}
 		return s.begin(id, tree, at, "")
 	}
-	if err := s.free(id, Startup); err != nil {
+	if err := s.checkLock(id, Startup); err != nil {
 		return nil, err
 	}
-	if s.under != nil {
-		return nil, wrong(schema.InUse, "", "transaction %d is under way", s.under.N)
+	if s.inProgress != nil {
+		return nil, newError(schema.InUse, "", "transaction %d is under way", s.inProgress.N)
 	}
 	if to != Startup {
-		return nil, wrong(schema.InvalidValue, "", "no datastore %q to copy to by a transaction", to)
+		return nil, newError(schema.InvalidValue, "", "no datastore %q to copy to by a transaction", to)
 	}
-	if err := s.allowed(id, s.startup, tree); err != nil {
+	if err := s.checkAccess(id, s.startup, tree); err != nil {
 		return nil, err
 	}
 	if faults := s.Model.Validate(tree); len(faults) > 0 {
 		return nil, &Error{Faults: faults}
 	}
-	t := s.txn(s.sessions[id], KindStartup, s.running, at)
+	t := s.startTxn(s.sessions[id], KindStartup, s.running, at)
 	t.startup = tree.Clone()
 	t.Changes = schema.Diff(s.startup, t.startup)
 	return t, nil
 }
 
-// Rollback begins the transaction that puts an earlier revision in force again.
+// Rollback begins the transaction that restores an earlier revision of running.
 func (s *Store) Rollback(id SessionID, to uint64, at time.Time, comment string) (*Txn, error) {
-	if err := s.commitable(id, ""); err != nil {
+	if err := s.checkCommit(id, ""); err != nil {
 		return nil, err
 	}
 	tree, err := s.Revision(to)
@@ -209,133 +213,137 @@
 	return t, nil
 }
 
-// begin starts a transaction towards a tree, which is checked as a whole.
+// begin checks access to the changes, validates next as a whole, and starts the transaction that makes it running.
 func (s *Store) begin(id SessionID, next *schema.Node, at time.Time, comment string) (*Txn, error) {
-	if err := s.allowed(id, s.running, next); err != nil {
+	if err := s.checkAccess(id, s.running, next); err != nil {
 		return nil, err
 	}
 	if err := s.Check(next); err != nil {
 		return nil, err
 	}
-	t := s.txn(s.sessions[id], KindCommit, next.Clone(), at)
+	t := s.startTxn(s.sessions[id], KindCommit, next.Clone(), at)
 	t.Comment = comment
 	return t, nil
 }
 
-// txn is the one that is under way from now on.
-func (s *Store) txn(who Session, kind Kind, next *schema.Node, at time.Time) *Txn {
-	t := &Txn{Record: Record{N: s.last + 1, Kind: kind, Session: who.ID, User: who.User, Via: who.Via, At: at},
+// startTxn creates a transaction and marks it as the one in progress. The caller has checked that there is no other.
+func (s *Store) startTxn(session Session, kind Kind, next *schema.Node, at time.Time) *Txn {
+	t := &Txn{Record: Record{N: s.lastRevision + 1, Kind: kind, Session: session.ID, User: session.User, Via: session.Via, At: at},
 		Old: s.running, New: next}
 	t.Changes = schema.Diff(t.Old, next)
-	s.under = t
+	s.inProgress = t
 	return t
 }
 
-// Ready tells whether a transaction may be made durable: what was seen of the network since it began counts. If it
-// may not, it is over. A way back is always ready: what is in force must not depend on what is seen.
-func (s *Store) Ready(t *Txn) error {
-	if s.under != t {
-		return wrong(schema.OperationFailed, "", "transaction %d is not under way", t.N)
+// CheckReady runs the guards again immediately before a transaction is made durable, as the state of the network may
+// have changed since it began. If it returns an error, the transaction has ended. Reverts, confirmations and startup
+// changes always pass: a revert must not depend on the observed state of the network.
+func (s *Store) CheckReady(t *Txn) error {
+	if s.inProgress != t {
+		return newError(schema.OperationFailed, "", "transaction %d is not under way", t.N)
 	}
 	if t.Kind == KindRevert || t.Kind == KindConfirm || t.Kind == KindStartup {
 		return nil
 	}
-	if faults := s.guard(t.New); len(faults) > 0 {
-		s.under = nil
+	if faults := s.runGuards(t.New); len(faults) > 0 {
+		s.inProgress = nil
 		return &Error{Faults: faults}
 	}
 	return nil
 }
 
-// Dropped tells that a transaction could not be made durable: nothing has changed.
-func (s *Store) Dropped(t *Txn) {
-	if s.under == t {
-		s.under = nil
+// Abort ends a transaction that could not be made durable. Nothing changes.
+func (s *Store) Abort(t *Txn) {
+	if s.inProgress == t {
+		s.inProgress = nil
 	}
 }
 
-// Made tells that a transaction is durable: from now on it is in force.
-func (s *Store) Made(t *Txn) error {
-	if s.under != t {
-		return wrong(schema.OperationFailed, "", "transaction %d is not under way", t.N)
+// Complete puts a transaction in force. The caller has made its record durable.
+func (s *Store) Complete(t *Txn) error {
+	if s.inProgress != t {
+		return newError(schema.OperationFailed, "", "transaction %d is not under way", t.N)
 	}
-	s.under = nil
-	s.enter(t)
+	s.inProgress = nil
+	s.install(t)
 	return nil
 }
 
-// Failed tells that what was made could not take effect. The transaction that takes it back is under way then.
-func (s *Store) Failed(t *Txn, at time.Time, why string) *Txn {
-	if s.under != nil || s.last != t.N || t.N <= s.floor {
+// RevertFailed begins the transaction that reverts t, which was completed but could not be applied. It returns nil if
+// another transaction is in progress, t is not the last one, or the revision before it is not kept.
+func (s *Store) RevertFailed(t *Txn, at time.Time, reason string) *Txn {
+	if s.inProgress != nil || s.lastRevision != t.N || t.N <= s.minRevision {
 		return nil
 	}
-	s.waits = &confirmation{before: t.N - 1}
+	s.pending = &confirmation{revertTo: t.N - 1}
 	if t.Timeout > 0 {
-		s.waits.before = t.Before // nobody confirms what did not take effect
+		s.pending.revertTo = t.Before // a commit that was not applied can't be confirmed
 	}
-	return s.back(Session{Via: "system"}, at, KindRevert, why)
+	return s.beginRevert(Session{Via: "system"}, at, KindRevert, reason)
 }
 
-// back begins the transaction that takes the waiting commit back.
-func (s *Store) back(who Session, at time.Time, kind Kind, why string) *Txn {
-	tree, err := s.Revision(s.waits.before)
-	if err != nil { // it is kept as long as something waits for it, see trim
+// beginRevert begins the transaction that reverts the pending commit.
+func (s *Store) beginRevert(session Session, at time.Time, kind Kind, reason string) *Txn {
+	tree, err := s.Revision(s.pending.revertTo)
+	if err != nil { // not expected: Trim keeps this revision while a commit is pending
 		tree = s.running
 	}
-	t := s.txn(who, kind, tree, at)
-	t.Of, t.Comment = s.waits.before, why
+	t := s.startTxn(session, kind, tree, at)
+	t.Of, t.Comment = s.pending.revertTo, reason
 	return t
 }
 
-// Cancel begins the transaction that takes the waiting commit back at a session's wish (RFC 6241, 8.4.4.1).
+// Cancel begins the transaction that reverts the pending commit at the request of a session (RFC 6241, 8.4.4.1).
 func (s *Store) Cancel(id SessionID, persistID string, at time.Time) (*Txn, error) {
-	if s.waits == nil {
-		return nil, wrong(schema.OperationFailed, "", "no commit waits for a confirmation")
+	if s.pending == nil {
+		return nil, newError(schema.OperationFailed, "", "no commit waits for a confirmation")
 	}
-	if err := s.commitable(id, persistID); err != nil {
+	if err := s.checkCommit(id, persistID); err != nil {
 		return nil, err
 	}
-	return s.back(s.sessions[id], at, KindRevert, "cancelled"), nil
+	return s.beginRevert(s.sessions[id], at, KindRevert, "cancelled"), nil
 }
 
-// Expired begins the transaction that takes the waiting commit back when its time is up, or returns nil.
-func (s *Store) Expired(at time.Time) *Txn {
-	if s.waits == nil || s.under != nil || at.Before(s.waits.until) {
+// RevertExpired begins the transaction that reverts the pending commit if its confirmation timeout has expired.
+// Otherwise, or while another transaction is in progress, it returns nil.
+func (s *Store) RevertExpired(at time.Time) *Txn {
+	if s.pending == nil || s.inProgress != nil || at.Before(s.pending.deadline) {
 		return nil
 	}
-	return s.back(Session{Via: "system"}, at, KindRevert, "not confirmed in time")
+	return s.beginRevert(Session{Via: "system"}, at, KindRevert, "not confirmed in time")
 }
 
-// Waits tells until when a commit waits for its confirmation, and whether one does.
-func (s *Store) Waits() (time.Time, bool) {
-	if s.waits == nil {
+// ConfirmDeadline returns the time at which the pending commit expires, and whether a commit is pending.
+func (s *Store) ConfirmDeadline() (time.Time, bool) {
+	if s.pending == nil {
 		return time.Time{}, false
 	}
-	return s.waits.until, true
+	return s.pending.deadline, true
 }
 
-// enter takes what a transaction made.
-func (s *Store) enter(t *Txn) {
+// install applies a completed transaction to the datastores, the history and the pending confirmation.
+func (s *Store) install(t *Txn) {
 	r := t.Record
-	s.last = r.N
+	s.lastRevision = r.N
 	s.history = append(s.history, r)
 	if r.Kind == KindStartup {
 		s.startup = t.startup
 		return
 	}
 	s.running = t.New
-	if t.fresh || !s.edited {
+	if t.resetsCandidate || !s.candidateEdited {
 		s.discard()
 	}
-	if s.waits = nil; r.Timeout > 0 {
-		s.waits = &confirmation{before: r.Before, session: r.Session, persist: r.Persist, until: r.At.Add(r.Timeout)}
+	if s.pending = nil; r.Timeout > 0 {
+		s.pending = &confirmation{revertTo: r.Before, session: r.Session, persist: r.Persist, deadline: r.At.Add(r.Timeout)}
 	}
 }
 
-// Revision returns running as an earlier transaction left it.
+// Revision returns a copy of running as it was after transaction n. It undoes the later records one by one; a revision
+// before the oldest kept one is an error.
 func (s *Store) Revision(n uint64) (*schema.Node, error) {
-	if n > s.last || n < s.floor {
-		return nil, wrong(schema.InvalidValue, "", "revision %d is not kept: %d to %d are", n, s.floor, s.last)
+	if n > s.lastRevision || n < s.minRevision {
+		return nil, newError(schema.InvalidValue, "", "revision %d is not kept: %d to %d are", n, s.minRevision, s.lastRevision)
 	}
 	tree := s.running.Clone()
 	for _, r := range slices.Backward(s.history) {
@@ -352,7 +360,7 @@
 	return tree, nil
 }
 
-// inverse takes changes back.
+// inverse returns the changes that undo the given ones, in reverse order.
 func inverse(changes []schema.Change) []schema.Change {
 	out := make([]schema.Change, 0, len(changes))
 	for _, c := range slices.Backward(changes) {
@@ -361,7 +369,7 @@
 	return out
 }
 
-// Diff returns what changed between two revisions.
+// Diff returns the changes from one revision of running to another.
 func (s *Store) Diff(from, to uint64) ([]schema.Change, error) {
 	a, err := s.Revision(from)
 	if err != nil {
@@ -374,25 +382,25 @@
 	return schema.Diff(a, b), nil
 }
 
-// History returns the records that are kept, the oldest first.
+// History returns a copy of the kept records, oldest first.
 func (s *Store) History() []Record { return slices.Clone(s.history) }
 
-// Tell adds the history to a tree, as the module brookmux-transactions has it. What a comment holds that a tree can't is
-// left out.
+// Tell adds the history to a tree, as the module brookmux-transactions defines it. A value that the model does not
+// allow, such as a comment with unsupported characters, is left out.
 func (s *Store) Tell(tree *schema.Node) {
 	for _, r := range s.history {
-		at := fmt.Sprintf("/transactions/transaction[revision='%d']/", r.N)
+		prefix := fmt.Sprintf("/transactions/transaction[revision='%d']/", r.N)
 		for leaf, v := range map[string]string{"kind": string(r.Kind), "user": r.User, "via": r.Via, "comment": r.Comment,
 			"at": r.At.UTC().Format(time.RFC3339Nano), "changes": strconv.Itoa(len(r.Changes))} {
 			if v != "" {
-				_ = tree.Put(schema.Item{Path: at + leaf, Value: v}) // see above
+				_ = tree.Put(schema.Item{Path: prefix + leaf, Value: v}) // left out if the model does not allow it
 			}
 		}
 		if r.Of > 0 {
-			_ = tree.Put(schema.Item{Path: at + "of", Value: strconv.FormatUint(r.Of, 10)}) // a number is one that it can hold
+			_ = tree.Put(schema.Item{Path: prefix + "of", Value: strconv.FormatUint(r.Of, 10)}) // a number is always valid here
 		}
 	}
 }
 
-// Last is the number of the last transaction that was made.
-func (s *Store) Last() uint64 { return s.last }
+// Last returns the number of the last completed transaction, which is the current revision.
+func (s *Store) Last() uint64 { return s.lastRevision }
--- a/internal/datastore/drain.go
+++ b/internal/datastore/drain.go
@@ -6,63 +6,67 @@
 	"brookmux/internal/schema"
 )
 
-// Drains knows which exchanges have been told to drain or are gone, by the deployment's own list.
-type Drains struct{ told map[string]string }
+// Drains records which exchanges are draining or gone according to the membership list. Its Guard keeps configuration
+// changes from sending them new calls. The zero value is ready to use.
+type Drains struct{ states map[string]string }
 
-// Told takes the whole list anew: what each exchange that takes no new work was told, by its number.
-func (d *Drains) Told(list map[string]string) { d.told = list }
+// Told replaces the recorded states. The map holds the state, "draining" or "gone", of each exchange that takes no new
+// calls, by exchange number.
+func (d *Drains) Told(list map[string]string) { d.states = list }
 
-// Guard refuses a change that would send new work to an exchange that was told to drain: one that puts it in
-// service, gives it another address, or more circuits (RFC 6241: resource-denied, with the exchange's path).
+// Guard rejects a change that would send new calls to an exchange that is draining or gone: one that adds it or puts
+// it in service, changes its address, or gives it more circuits. The fault is resource-denied (RFC 6241) with the path
+// of the exchange.
 func (d *Drains) Guard(old, new *schema.Node) (faults []schema.Fault) {
 	list := new.Get("exchanges")
-	if list == nil || len(d.told) == 0 {
+	if list == nil || len(d.states) == 0 {
 		return nil
 	}
 	for _, x := range list.Children() {
 		number := x.Keys()[0]
-		word, drains := d.told[number]
-		if !drains || state(x) != "in-service" {
+		told, listed := d.states[number]
+		if !listed || adminState(x) != "in-service" {
 			continue
 		}
-		why := ""
+		reason := ""
 		var before *schema.Node
 		if l := old.Get("exchanges"); l != nil {
 			before = l.Get("exchange", number)
 		}
 		switch {
 		case before == nil:
-			why = "it would be new"
-		case state(before) != "in-service":
-			why = "it would be in service again"
-		case value(before, "address") != value(x, "address"):
-			why = "it would get work at another address"
-		case circuits(new, number) > circuits(old, number):
-			why = "it would get more circuits"
+			reason = "it would be new"
+		case adminState(before) != "in-service":
+			reason = "it would be in service again"
+		case leafValue(before, "address") != leafValue(x, "address"):
+			reason = "it would get work at another address"
+		case circuitCount(new, number) > circuitCount(old, number):
+			reason = "it would get more circuits"
 		default:
 			continue
 		}
 		faults = append(faults, schema.Fault{Tag: schema.ResourceDenied, AppTag: "node-drains", Path: x.Path(),
-			Message: fmt.Sprintf("exchange %s has been told %s: %s", number, word, why)})
+			Message: fmt.Sprintf("exchange %s has been told %s: %s", number, told, reason)})
 	}
 	return faults
 }
 
-func value(n *schema.Node, leaf string) string {
+// leafValue returns the value of a leaf, or "" if it is not set.
+func leafValue(n *schema.Node, leaf string) string {
 	v, _ := n.Leaf(leaf)
 	return v
 }
 
-// state is an exchange's admin-state, with the default of the model.
-func state(x *schema.Node) string {
+// adminState returns the admin-state of an exchange, or the model's default if it is not set.
+func adminState(x *schema.Node) string {
 	if v, ok := x.Leaf("admin-state"); ok {
 		return v
 	}
 	return x.Def.Child("admin-state").Default[0]
 }
 
-// circuits is how many circuits end at an exchange.
-func circuits(tree *schema.Node, number string) (n int) {
+// circuitCount returns the number of circuits in the groups that end at an exchange.
+func circuitCount(tree *schema.Node, number string) (n int) {
 	groups := tree.Get("circuit-groups")
 	if groups == nil {
 		return 0
@@ -70,7 +74,7 @@
 	for _, g := range groups.Children() {
 		if k := g.Keys(); k[0] == number || k[1] == number {
 			var size int
-			if _, err := fmt.Sscan(value(g, "size"), &size); err == nil {
+			if _, err := fmt.Sscan(leafValue(g, "size"), &size); err == nil {
 				n += size
 			}
 		}
--- a/internal/datastore/edit.go
+++ b/internal/datastore/edit.go
@@ -6,10 +6,10 @@
 	"brookmux/internal/schema"
 )
 
-// Operation is what an edit does to a node (RFC 6241, 7.2).
+// Operation is the operation that an edit applies to a node (RFC 6241, 7.2).
 type Operation int
 
-// The operations. None only leads to nodes below it.
+// The operations. None leaves the node itself unchanged; only the parts below it apply.
 const (
 	Merge Operation = iota
 	Replace
@@ -19,7 +19,7 @@
 	None
 )
 
-// TestOption is whether an edit is validated (RFC 6241, 8.6.4.1).
+// TestOption selects whether an edit is validated and whether it is applied (RFC 6241, 8.6.4.1).
 type TestOption int
 
 // The test options.
@@ -29,7 +29,7 @@
 	TestOnly
 )
 
-// ErrorOption is what happens to the rest of an edit when a part of it fails.
+// ErrorOption selects how an edit continues after a part of it fails (RFC 6241, 7.2).
 type ErrorOption int
 
 // The error options.
@@ -39,42 +39,42 @@
 	RollbackOnError
 )
 
-// Edit is a change as a session asks for it.
+// Edit is a change requested by a session.
 type Edit struct {
-	Root    *Part // of the tree's root; its own operation is the default one: Merge, Replace or None
+	Root    *Part // for the root of the tree; its Op is the default operation: Merge, Replace or None
 	Test    TestOption
 	OnError ErrorOption
 }
 
-// Part is a node of an edit. Keys and values are canonical.
+// Part is one node of an edit with the parts below it. Keys and values are in canonical form.
 type Part struct {
 	Def   *schema.Def
 	Op    Operation
 	Keys  []string // of a list entry
-	Value string   // of a leaf or an element
+	Value string   // of a leaf or a leaf-list entry
 	Parts []*Part
-	Path  string // as the session wrote it, for errors
+	Path  string // as given by the session, for error messages
 }
 
-// instance is what tells the node of a part from its siblings.
-func (p *Part) instance() []string {
+// identity returns what distinguishes the part's node from siblings of the same name: its value or its keys.
+func (p *Part) identity() []string {
 	if p.Def.Leafy() {
 		return []string{p.Value}
 	}
 	return p.Keys
 }
 
-// apply makes the edit on a tree, and returns what could not be done.
+// apply applies the edit to a tree, in place, and returns a fault for each part that failed.
 func (e Edit) apply(root *schema.Node) []schema.Fault {
-	a := &applier{on: e.OnError}
+	a := &applier{onError: e.OnError}
 	if e.Root.Op == Replace {
 		root.Drop()
 	}
-	a.parts(root, e.Root)
+	a.applyParts(root, e.Root)
 	return a.faults
 }
 
-// Tree returns what an edit makes of nothing: a whole configuration.
+// Tree applies the edit to an empty tree and returns the resulting configuration.
 func (e Edit) Tree(m *schema.Model) (*schema.Node, error) {
 	tree := m.NewTree()
 	if faults := e.apply(tree); len(faults) > 0 {
@@ -83,45 +83,45 @@
 	return tree, nil
 }
 
-// applier is one edit under way.
+// applier is the state of applying one edit.
 type applier struct {
-	on     ErrorOption
-	faults []schema.Fault
+	onError ErrorOption
+	faults  []schema.Fault
 }
 
-// fault books what could not be done, and tells whether the rest is still to be tried.
-func (a *applier) fault(tag schema.Tag, p *Part, message string) bool {
+// addFault records a part that failed, and reports whether to continue with the remaining parts.
+func (a *applier) addFault(tag schema.Tag, p *Part, message string) bool {
 	a.faults = append(a.faults, schema.Fault{Tag: tag, Path: p.Path, Message: message})
-	return a.on == ContinueOnError
+	return a.onError == ContinueOnError
 }
 
-// parts makes those under a node, and tells whether to go on.
-func (a *applier) parts(at *schema.Node, p *Part) bool {
+// applyParts applies the parts below p to parent, the node of p. It reports whether to continue.
+func (a *applier) applyParts(parent *schema.Node, p *Part) bool {
 	for _, c := range p.Parts {
-		if !a.part(at, c) {
+		if !a.applyPart(parent, c) {
 			return false
 		}
 	}
 	return true
 }
 
-// part makes one under its parent's node.
-func (a *applier) part(at *schema.Node, p *Part) bool {
+// applyPart applies one part below its parent's node. It reports whether to continue.
+func (a *applier) applyPart(parent *schema.Node, p *Part) bool {
 	d := p.Def
 	if !d.Config {
-		return a.fault(schema.InvalidValue, p, "it is state, and can't be set")
+		return a.addFault(schema.InvalidValue, p, "it is state, and can't be set")
 	}
-	old := at.Get(d.Name, p.Keys...)
+	old := parent.Get(d.Name, p.Keys...)
 	if d.Kind == schema.LeafList {
-		old = at.Get(d.Name, p.Value)
+		old = parent.Get(d.Name, p.Value)
 	}
 	if d.IsKey() && p.Op != Merge && p.Op != None && p.Op != Replace {
-		return a.fault(schema.BadElement, p, "a key can't be created or removed by itself")
+		return a.addFault(schema.BadElement, p, "a key can't be created or removed by itself")
 	}
 	switch p.Op {
 	case Delete, Remove:
 		if old == nil && p.Op == Delete {
-			return a.fault(schema.DataMissing, p, "it is not there")
+			return a.addFault(schema.DataMissing, p, "it is not there")
 		}
 		if old != nil {
 			old.Drop()
@@ -129,36 +129,36 @@
 		return true
 	case Create:
 		if old != nil {
-			return a.fault(schema.DataExists, p, "it is there already")
+			return a.addFault(schema.DataExists, p, "it is there already")
 		}
 	case Replace:
 		if old != nil && !d.Leafy() {
-			at.Remove(old)
+			parent.Remove(old)
 		}
 	case None:
 		if old == nil && len(p.Parts) == 0 {
-			return a.fault(schema.DataMissing, p, "it is not there")
+			return a.addFault(schema.DataMissing, p, "it is not there")
 		}
 		if d.Leafy() {
 			return true
 		}
 	}
 	if d.Kind == schema.Leaf {
-		if _, err := at.Set(d, p.Value); err != nil {
-			return a.fault(schema.OperationFailed, p, err.Error())
+		if _, err := parent.Set(d, p.Value); err != nil {
+			return a.addFault(schema.OperationFailed, p, err.Error())
 		}
 		return true
 	}
-	n, err := at.Add(d, p.instance()...)
+	n, err := parent.Add(d, p.identity()...)
 	if err != nil && !errors.Is(err, schema.ErrExists) {
-		return a.fault(schema.OperationFailed, p, err.Error())
+		return a.addFault(schema.OperationFailed, p, err.Error())
 	}
-	ok := a.parts(n, p)
+	ok := a.applyParts(n, p)
 	if n.Len() == 0 && d.Kind == schema.Container && !d.Presence && n.Parent != nil {
-		n.Drop() // it means nothing by itself
+		n.Drop() // an empty container without presence has no meaning (RFC 7950, 7.5.1)
 	}
 	if p.Op == None && old == nil && n.Parent != nil && d.Kind == schema.List && n.Len() == len(d.Keys) {
-		n.Drop() // nothing was made below what was not there
+		n.Drop() // this entry was created only to reach nodes below it, and none were created
 	}
 	return ok
 }
--- a/internal/datastore/restore.go
+++ b/internal/datastore/restore.go
@@ -7,18 +7,18 @@
 	"brookmux/internal/schema"
 )
 
-// Trim tells what need not be kept any more, once twice as many records are kept as can be gone back to: the base
-// takes the place of all records up to its number. The owner makes that durable, in one step, before it calls
-// Trimmed. ok is false while nothing is to be done. What a waiting commit may go back to is kept.
+// Trim returns a base record that replaces all records up to and including its number, once the history holds at
+// least twice Config.Keep records. The owner makes the replacement durable in one step and then calls FinishTrim. ok is
+// false if there is nothing to trim. The revision that a pending commit may revert to is kept.
 func (s *Store) Trim() (base Record, ok bool, err error) {
-	if len(s.history) < 2*s.Keep || s.under != nil {
+	if len(s.history) < 2*s.Keep || s.inProgress != nil {
 		return Record{}, false, nil
 	}
-	n := s.last - uint64(s.Keep)
-	if s.waits != nil {
-		n = min(n, s.waits.before)
+	n := s.lastRevision - uint64(s.Keep)
+	if s.pending != nil {
+		n = min(n, s.pending.revertTo)
 	}
-	if n <= s.floor {
+	if n <= s.minRevision {
 		return Record{}, false, nil
 	}
 	running, err := s.Revision(n)
@@ -36,33 +36,33 @@
 	return Record{N: n, Kind: KindBase, At: s.history[0].At, Items: running.Items(), Startup: startup.Items()}, true, nil
 }
 
-// Trimmed forgets the records that a base has taken the place of.
-func (s *Store) Trimmed(base Record) {
+// FinishTrim drops the records that the base replaces from the history.
+func (s *Store) FinishTrim(base Record) {
 	for len(s.history) > 0 && s.history[0].N <= base.N {
 		s.history = s.history[1:]
 	}
 	s.history = append([]Record(nil), s.history...)
-	s.floor = base.N
+	s.minRevision = base.N
 }
 
-// Restore takes the records that were kept, in their order, into a new Store. A commit that still waited for its
-// confirmation is taken back (RFC 6241, 8.4.1: also when the device starts again) by the transaction that is
-// returned, if any; the owner makes it durable before anything else.
+// Restore replays stored records, in their order, into a new Store. If the last commit was still pending, Restore
+// begins and returns the transaction that reverts it, as RFC 6241, 8.4.1 requires after a restart; the owner must
+// complete it first. Otherwise the returned transaction is nil.
 func (s *Store) Restore(records []Record, at time.Time) (*Txn, error) {
 	for i, r := range records {
 		if r.Kind == KindBase {
 			if i > 0 {
-				return nil, fmt.Errorf("datastore: record %d is a base in the middle", r.N)
+				return nil, fmt.Errorf("datastore: base record %d is not the first record", r.N)
 			}
-			if err := s.base(r); err != nil {
+			if err := s.restoreBase(r); err != nil {
 				return nil, err
 			}
 			continue
 		}
-		if r.N != s.last+1 {
-			return nil, fmt.Errorf("datastore: record %d follows %d", r.N, s.last)
+		if r.N != s.lastRevision+1 {
+			return nil, fmt.Errorf("datastore: record %d follows record %d", r.N, s.lastRevision)
 		}
-		t := &Txn{Record: r, Old: s.running, fresh: true}
+		t := &Txn{Record: r, Old: s.running, resetsCandidate: true}
 		tree := s.running
 		if r.Kind == KindStartup {
 			tree = s.startup
@@ -76,16 +76,16 @@
 		} else {
 			t.New = next
 		}
-		s.enter(t)
+		s.install(t)
 	}
-	if s.waits == nil {
+	if s.pending == nil {
 		return nil, nil
 	}
-	return s.back(Session{Via: "system"}, at, KindRevert, "the controller started again before it was confirmed"), nil
+	return s.beginRevert(Session{Via: "system"}, at, KindRevert, "the controller started again before it was confirmed"), nil
 }
 
-// base takes a base.
-func (s *Store) base(r Record) error {
+// restoreBase loads the content of a base record into the empty datastores.
+func (s *Store) restoreBase(r Record) error {
 	for _, x := range []struct {
 		tree  *schema.Node
 		items []schema.Item
@@ -96,7 +96,7 @@
 			}
 		}
 	}
-	s.last, s.floor = r.N, r.N
+	s.lastRevision, s.minRevision = r.N, r.N
 	s.discard()
 	return nil
 }
--- a/internal/datastore/store.go
+++ b/internal/datastore/store.go
@@ -1,8 +1,7 @@
-// Package datastore decides what happens to the configuration: candidate, running and startup, sessions and their
-// locks, edits, transactions with confirmation, history and the way back (RFC 6241, RFC 8342). Events go in with
-// the time at which they came, and transactions come out. It has no I/O, no clock and no goroutine: whoever owns a
-// Store makes its transactions durable and lets them take effect, and says how that went. What a tree means is for
-// package schema.
+// Package datastore implements the configuration datastores: candidate, running and startup, sessions and their locks,
+// edits, transactions with confirmed commit, history and rollback (RFC 6241, RFC 8342). It has no I/O, no clock and no
+// goroutine: methods take the current time and return transactions. The owner of a Store makes them durable, applies
+// them and reports the result back. Package schema defines and validates the trees.
 package datastore
 
 import (
@@ -14,7 +13,7 @@
 	"brookmux/internal/schema"
 )
 
-// Target is a datastore (RFC 8342, 5).
+// Target names a datastore (RFC 8342, 5).
 type Target string
 
 // The datastores.
@@ -24,97 +23,97 @@
 	Startup   Target = "startup"
 )
 
-// SessionID tells sessions apart; 0 is none (RFC 6241, 7.5).
+// SessionID identifies a session; 0 means no session (RFC 6241, 7.5).
 type SessionID uint32
 
-// Session is one user's way in.
+// Session is an open management session of a user.
 type Session struct {
 	ID   SessionID
 	User string
 	Via  string // netconf, gnmi or system
 }
 
-// Error is why something was not done.
+// Error is the failure of a request, with one or more faults to report to the client.
 type Error struct {
 	Faults []schema.Fault
-	Holder SessionID // of the lock or commit in the way, 0 for none
+	Holder SessionID // session that holds the conflicting lock or pending commit; 0 if none
 }
 
 // Error implements error.
 func (e *Error) Error() string {
-	words := make([]string, 0, len(e.Faults))
+	messages := make([]string, 0, len(e.Faults))
 	for _, f := range e.Faults {
-		words = append(words, f.Error())
+		messages = append(messages, f.Error())
 	}
-	return strings.Join(words, "; ")
+	return strings.Join(messages, "; ")
 }
 
-// wrong returns an Error of one fault.
-func wrong(tag schema.Tag, path, format string, args ...any) *Error {
+// newError returns an Error with one fault.
+func newError(tag schema.Tag, path, format string, args ...any) *Error {
 	return &Error{Faults: []schema.Fault{{Tag: tag, Path: path, Message: fmt.Sprintf(format, args...)}}}
 }
 
-// Guard tells what is wrong with a change beside what the model says, as what is seen of the network now has it.
-// It must not change the trees.
+// Guard checks a change of running against conditions outside the model, such as the current state of the network, and
+// returns the faults that it finds. It must not modify the trees.
 type Guard func(old, new *schema.Node) []schema.Fault
 
-// Config says what a Store is.
+// Config holds the parameters of a Store.
 type Config struct {
 	Model    *schema.Model
-	Keep     int // revisions that can be gone back to
-	Sessions int // most at a time
+	Keep     int // minimum number of past revisions that stay available
+	Sessions int // maximum number open at the same time
 	Guards   []Guard
-	Access   Access // nil: everybody may change everything
+	Access   Access // nil: every session may change everything
 }
 
-// Access tells which of the changes between two trees a session may not make. The rules are those of running, as long
-// as it is in force.
+// Access returns a fault for each of the changes from old to next that the session may not make. The access rules are
+// those in running, also if the change is to another datastore or alters the rules.
 type Access func(who Session, running, old, next *schema.Node, changes []schema.Change) []schema.Fault
 
-// Store is the state of all datastores. Its methods are called by one owner.
+// Store holds the state of all datastores. It is not safe for concurrent use: its owner serializes the calls.
 type Store struct {
 	Config
 	running, candidate, startup *schema.Node
-	edited                      bool // the candidate differs from what it was copied from
+	candidateEdited             bool // the candidate was changed since it was copied from running
 	sessions                    map[SessionID]Session
 	locks                       map[Target]SessionID
-	lastID                      SessionID
-	last                        uint64   // number of the last transaction
-	history                     []Record // the last of them, see Config.Keep
-	floor                       uint64   // the revision before the oldest of them
-	under                       *Txn     // under way
-	waits                       *confirmation
+	lastSession                 SessionID
+	lastRevision                uint64        // number of the last completed transaction
+	history                     []Record      // the most recent transactions, oldest first; see Config.Keep
+	minRevision                 uint64        // the oldest revision available, the one before history[0]
+	inProgress                  *Txn          // nil if no transaction is in progress
+	pending                     *confirmation // the commit that awaits its confirmation, or nil
 }
 
-// errNoSession tells that a session has ended.
+// errNoSession is returned for a session that does not exist or has ended.
 var errNoSession = errors.New("datastore: no such session")
 
-// New returns a Store whose datastores are empty.
+// New returns a Store with empty datastores. Restore fills it from stored records.
 func New(c Config) (*Store, error) {
 	if c.Model == nil || c.Keep < 1 || c.Sessions < 1 {
-		return nil, errors.New("datastore: a model, a history and sessions are needed")
+		return nil, errors.New("datastore: a model is needed, and Keep and Sessions must be at least 1")
 	}
 	return &Store{Config: c, running: c.Model.NewTree(), candidate: c.Model.NewTree(), startup: c.Model.NewTree(),
 		sessions: map[SessionID]Session{}, locks: map[Target]SessionID{}}, nil
 }
 
-// Open lets a session in.
+// Open opens a session, unless Config.Sessions are open already.
 func (s *Store) Open(user, via string) (Session, error) {
 	if len(s.sessions) >= s.Sessions {
-		return Session{}, wrong(schema.ResourceDenied, "", "%d sessions are open", len(s.sessions))
+		return Session{}, newError(schema.ResourceDenied, "", "%d sessions are open", len(s.sessions))
 	}
-	for s.lastID++; s.lastID == 0 || s.sessions[s.lastID].ID != 0; s.lastID++ {
+	for s.lastSession++; s.lastSession == 0 || s.sessions[s.lastSession].ID != 0; s.lastSession++ {
 	}
-	x := Session{s.lastID, user, via}
+	x := Session{s.lastSession, user, via}
 	s.sessions[x.ID] = x
 	return x, nil
 }
 
-// Close ends a session, whatever ended it: its locks are released, edits of a candidate that it had locked are
-// discarded (RFC 6241, 8.3.5.2), and a commit of its own that waits for its confirmation is taken back by the
-// transaction that is returned, if any (8.4.1).
+// Close ends a session for whatever reason. It releases the session's locks and discards the edits of a candidate that
+// the session had locked (RFC 6241, 8.3.5.2). If the session has a pending commit without a persist value, Close begins
+// and returns the transaction that reverts it (8.4.1); otherwise it returns nil.
 func (s *Store) Close(id SessionID, at time.Time) *Txn {
-	who, ok := s.sessions[id]
+	closed, ok := s.sessions[id]
 	if !ok {
 		return nil
 	}
@@ -124,53 +123,55 @@
 			s.unlock(t)
 		}
 	}
-	if w := s.waits; w != nil && w.session == id && w.persist == "" {
-		if s.under != nil { // it is made or not first; then Expired takes it back
-			w.until = at
+	if conf := s.pending; conf != nil && conf.session == id && conf.persist == "" {
+		if s.inProgress != nil { // let that transaction end first; RevertExpired then reverts the commit
+			conf.deadline = at
 			return nil
 		}
-		return s.back(who, at, KindRevert, "its session ended before it was confirmed")
+		return s.beginRevert(closed, at, KindRevert, "its session ended before it was confirmed")
 	}
 	return nil
 }
 
-// SessionOf returns a session that is open.
-func (s *Store) SessionOf(id SessionID) (Session, bool) {
+// FindSession returns an open session by its id, and whether it is open.
+func (s *Store) FindSession(id SessionID) (Session, bool) {
 	x, ok := s.sessions[id]
 	return x, ok
 }
 
-// Lock gives a session a datastore to itself (RFC 6241, 7.5).
+// Lock locks a datastore for a session (RFC 6241, 7.5). It fails if the datastore is locked, if the candidate has
+// uncommitted edits, or for running if another session has a pending commit.
 func (s *Store) Lock(id SessionID, t Target) error {
 	if _, ok := s.sessions[id]; !ok {
 		return errNoSession
 	}
 	if holder := s.locks[t]; holder != 0 {
-		e := wrong(schema.LockDenied, "", "%s is locked by session %d", t, holder)
+		e := newError(schema.LockDenied, "", "%s is locked by session %d", t, holder)
 		e.Holder = holder
 		return e
 	}
 	switch {
-	case t == Candidate && s.edited:
-		return wrong(schema.LockDenied, "", "the candidate has edits that are neither committed nor discarded")
-	case t == Running && s.waits != nil && s.waits.session != id:
-		e := wrong(schema.LockDenied, "", "a commit of session %d waits for its confirmation", s.waits.session)
-		e.Holder = s.waits.session
+	case t == Candidate && s.candidateEdited:
+		return newError(schema.LockDenied, "", "the candidate has edits that are neither committed nor discarded")
+	case t == Running && s.pending != nil && s.pending.session != id:
+		e := newError(schema.LockDenied, "", "a commit of session %d waits for its confirmation", s.pending.session)
+		e.Holder = s.pending.session
 		return e
 	}
 	s.locks[t] = id
 	return nil
 }
 
-// Unlock gives it back.
+// Unlock releases a lock of the session. Unlocking the candidate discards its edits.
 func (s *Store) Unlock(id SessionID, t Target) error {
 	if s.locks[t] != id || id == 0 {
-		return wrong(schema.OperationFailed, "", "%s is not locked by this session", t)
+		return newError(schema.OperationFailed, "", "%s is not locked by this session", t)
 	}
 	s.unlock(t)
 	return nil
 }
 
+// unlock releases a lock, and discards the edits of the candidate if that was locked.
 func (s *Store) unlock(t Target) {
 	delete(s.locks, t)
 	if t == Candidate {
@@ -178,20 +179,20 @@
 	}
 }
 
-// free tells whether a session may change a datastore.
-func (s *Store) free(id SessionID, t Target) error {
+// checkLock returns an error if the session has ended or another session has locked the datastore.
+func (s *Store) checkLock(id SessionID, t Target) error {
 	if _, ok := s.sessions[id]; !ok {
 		return errNoSession
 	}
 	if holder := s.locks[t]; holder != 0 && holder != id {
-		e := wrong(schema.InUse, "", "%s is locked by session %d", t, holder)
+		e := newError(schema.InUse, "", "%s is locked by session %d", t, holder)
 		e.Holder = holder
 		return e
 	}
 	return nil
 }
 
-// Get returns a copy of a datastore.
+// Get returns a copy of the content of a datastore.
 func (s *Store) Get(t Target) (*schema.Node, error) {
 	x, err := s.tree(t)
 	if err != nil {
@@ -200,6 +201,7 @@
 	return x.Clone(), nil
 }
 
+// tree returns the content of a datastore itself, not a copy.
 func (s *Store) tree(t Target) (*schema.Node, error) {
 	switch t {
 	case Running:
@@ -209,27 +211,28 @@
 	case Startup:
 		return s.startup, nil
 	}
-	return nil, wrong(schema.InvalidValue, "", "no datastore %q", t)
+	return nil, newError(schema.InvalidValue, "", "no datastore %q", t)
 }
 
-// Edit changes the candidate. Running and startup are changed by transactions only, see Begin.
+// Edit changes the candidate. Running and startup are changed by transactions only, see Commit, Change, Swap and Copy.
+// With an error option that allows it, a part of the edit may be applied although an error is returned.
 func (s *Store) Edit(id SessionID, e Edit) error {
-	if err := s.free(id, Candidate); err != nil {
+	if err := s.checkLock(id, Candidate); err != nil {
 		return err
 	}
-	next, err := s.after(s.candidate, e)
+	next, err := s.applyEdit(s.candidate, e)
 	if next == nil || e.Test == TestOnly {
 		return err
 	}
-	if err := s.allowed(id, s.candidate, next); err != nil {
+	if err := s.checkAccess(id, s.candidate, next); err != nil {
 		return err
 	}
-	s.candidate, s.edited = next, true
+	s.candidate, s.candidateEdited = next, true
 	return err
 }
 
-// allowed tells whether a session may turn one tree into another.
-func (s *Store) allowed(id SessionID, old, next *schema.Node) error {
+// checkAccess returns an error if the session may not make the changes from old to next.
+func (s *Store) checkAccess(id SessionID, old, next *schema.Node) error {
 	if s.Access == nil {
 		return nil
 	}
@@ -239,8 +242,9 @@
 	return nil
 }
 
-// after returns a tree with an edit made, or nil where nothing of it is kept, and what was wrong with it.
-func (s *Store) after(base *schema.Node, e Edit) (*schema.Node, error) {
+// applyEdit returns a copy of base with an edit applied, and its faults as an error. The tree is nil if nothing of the
+// edit is to be kept.
+func (s *Store) applyEdit(base *schema.Node, e Edit) (*schema.Node, error) {
 	next := base.Clone()
 	faults := e.apply(next)
 	if len(faults) == 0 && e.Test != Set {
@@ -258,40 +262,41 @@
 	return next, &Error{Faults: faults}
 }
 
-// Try tells what an edit of running would come to, and changes nothing.
+// Try applies and validates an edit on a copy of running and returns its error. It changes nothing.
 func (s *Store) Try(id SessionID, e Edit) error {
-	if err := s.free(id, Running); err != nil {
+	if err := s.checkLock(id, Running); err != nil {
 		return err
 	}
 	e.Test = TestOnly
-	_, err := s.after(s.running, e)
+	_, err := s.applyEdit(s.running, e)
 	return err
 }
 
-// Replace puts a whole configuration in the candidate's place (RFC 6241, 7.3).
+// Replace replaces the candidate with a complete configuration (RFC 6241, 7.3).
 func (s *Store) Replace(id SessionID, tree *schema.Node) error {
-	if err := s.free(id, Candidate); err != nil {
+	if err := s.checkLock(id, Candidate); err != nil {
 		return err
 	}
-	if err := s.allowed(id, s.candidate, tree); err != nil {
+	if err := s.checkAccess(id, s.candidate, tree); err != nil {
 		return err
 	}
-	s.candidate, s.edited = tree.Clone(), true
+	s.candidate, s.candidateEdited = tree.Clone(), true
 	return nil
 }
 
-// Discard makes the candidate what running is (RFC 6241, 8.3.4.2).
+// Discard resets the candidate to a copy of running (RFC 6241, 8.3.4.2).
 func (s *Store) Discard(id SessionID) error {
-	if err := s.free(id, Candidate); err != nil {
+	if err := s.checkLock(id, Candidate); err != nil {
 		return err
 	}
 	s.discard()
 	return nil
 }
 
-func (s *Store) discard() { s.candidate, s.edited = s.running.Clone(), false }
+// discard resets the candidate without checking for locks.
+func (s *Store) discard() { s.candidate, s.candidateEdited = s.running.Clone(), false }
 
-// Validate tells what is wrong with a datastore as a whole, also with what is seen of the network now.
+// Validate checks the content of a datastore as a whole, against the model and the guards.
 func (s *Store) Validate(t Target) error {
 	x, err := s.tree(t)
 	if err != nil {
@@ -300,11 +305,11 @@
 	return s.Check(x)
 }
 
-// Check tells whether a tree may become the running one.
+// Check returns an error if the model or a guard does not allow next as the running configuration.
 func (s *Store) Check(next *schema.Node) error {
 	faults := s.Model.Validate(next)
 	if len(faults) == 0 {
-		faults = s.guard(next)
+		faults = s.runGuards(next)
 	}
 	if len(faults) > 0 {
 		return &Error{Faults: faults}
@@ -312,7 +317,8 @@
 	return nil
 }
 
-func (s *Store) guard(next *schema.Node) (faults []schema.Fault) {
+// runGuards returns the faults of all guards for a change from running to next.
+func (s *Store) runGuards(next *schema.Node) (faults []schema.Fault) {
 	for _, g := range s.Guards {
 		faults = append(faults, g(s.running, next)...)
 	}
--- a/internal/transact/crash_test.go
+++ b/internal/transact/crash_test.go
@@ -27,21 +27,21 @@
 	"brookmux/yang"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
-func model(t require.TestingT) *schema.Model {
+func loadModel(t require.TestingT) *schema.Model {
 	m, err := schema.Load(yang.Files)
 	require.NoError(t, err)
 	return m
 }
 
-// open opens an owner on a journal; the clock is the caller's.
-func open(fs vfs.FS, dir string, m *schema.Model, now func() time.Time, parts ...Part) (*Owner, error) {
-	j, kept, err := journal.Open(fs, dir, quiet)
+// openOwner opens a journal and returns an Owner on it with the given clock.
+func openOwner(fs vfs.FS, dir string, m *schema.Model, now func() time.Time, parts ...Part) (*Owner, error) {
+	j, kept, err := journal.Open(fs, dir, discardLog)
 	if err != nil {
 		return nil, err
 	}
-	o, err := New(Config{Store: datastore.Config{Model: m, Keep: 8, Sessions: 8}, Journal: j, Kept: kept, Now: now, Log: quiet,
+	o, err := New(Config{Store: datastore.Config{Model: m, Keep: 8, Sessions: 8}, Journal: j, Kept: kept, Now: now, Log: discardLog,
 		Parts: parts})
 	if err != nil {
 		return nil, errors.Join(err, j.Close())
@@ -49,9 +49,9 @@
 	return o, nil
 }
 
-// put commits items in one transaction.
-func put(o *Owner, c datastore.Commit, items ...schema.Item) (datastore.Record, error) {
-	return change(o, c, func(tree *schema.Node) error {
+// commitItems sets items in one transaction.
+func commitItems(o *Owner, c datastore.Commit, items ...schema.Item) (datastore.Record, error) {
+	return commitChange(o, c, func(tree *schema.Node) error {
 		for _, i := range items {
 			if err := tree.Put(i); err != nil {
 				return err
@@ -61,8 +61,8 @@
 	})
 }
 
-// change commits what a function makes of running, by way of the candidate.
-func change(o *Owner, c datastore.Commit, f func(*schema.Node) error) (datastore.Record, error) {
+// commitChange commits the change that f makes to a copy of running, by way of the candidate.
+func commitChange(o *Owner, c datastore.Commit, f func(*schema.Node) error) (datastore.Record, error) {
 	var who datastore.Session
 	err := o.Do(func(s *datastore.Store) (err error) {
 		if who, err = s.Open("op", "test"); err != nil {
@@ -84,7 +84,7 @@
 	return o.Make(func(s *datastore.Store, at time.Time) (*datastore.Txn, error) { return s.Commit(who.ID, c, at) })
 }
 
-// state is what an owner has in force, as text.
+// state returns the number of the last transaction, and running and startup as text.
 func state(o *Owner) (last uint64, out string) {
 	o.Look(func(s *datastore.Store) {
 		last = s.Last()
@@ -96,31 +96,31 @@
 	return last, out
 }
 
-// point is the disk as a power cut between two writes would leave it, with what had been acknowledged by then.
-type point struct {
-	disk  *vfs.MemFS
-	acked int // index in the list of states
-	op    string
+// crashPoint is the disk as a power cut between two writes would leave it, with the last state acknowledged before.
+type crashPoint struct {
+	disk       *vfs.MemFS
+	ackedState int // index of that state; -1 if none
+	op         string
 }
 
-// TestCrashMatrix: the power is cut between every two writes to the disk, with all or nothing of what was not synced
-// surviving, through commits, one that waits for its confirmation, its confirmation, its expiry, a rollback, a
-// copy to startup and the trimming of the journal. After the start the configuration is wholly as it was last
-// acknowledged, or wholly as the transaction under way makes it; a commit that waited is taken back.
+// TestCrashMatrix simulates a power cut before each write to the disk, with either all or none of the unsynced data
+// surviving. The sequence covers commits, confirmed commits, their confirmation and expiry, a rollback, a copy to startup
+// and the trimming of the journal. After the restart the configuration must be the last acknowledged one or that of the
+// transaction in progress, in full either way, and a pending commit must have been reverted.
 func TestCrashMatrix(t *testing.T) {
-	m, disk := model(t), vfs.NewCrashableMem()
+	m, disk := loadModel(t), vfs.NewCrashableMem()
 	now := time.Unix(1_800_000_000, 0)
 	clock := func() time.Time { return now }
-	var mu sync.Mutex // the library writes in goroutines of its own too
-	var points []point
+	var mu sync.Mutex // the library also writes from its own goroutines
+	var points []crashPoint
 	type known struct{ state, restarted string }
-	states := []known{} // after each acknowledged step: as it is, and as a start makes it
-	watch := errorfs.InjectorFunc(func(op errorfs.Op) error {
+	states := []known{} // after each acknowledged step: the state, and the state after a restart
+	injector := errorfs.InjectorFunc(func(op errorfs.Op) error {
 		if op.Kind.ReadOrWrite() == errorfs.OpIsWrite {
 			mu.Lock()
 			defer mu.Unlock()
 			for _, percent := range []int{0, 100} {
-				points = append(points, point{disk.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: percent,
+				points = append(points, crashPoint{disk.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: percent,
 					RNG: rand.New(rand.NewPCG(1, 1))}),
 					len(states) - 1, fmt.Sprint(op.Kind, " ", op.Path)})
 			}
@@ -128,37 +128,37 @@
 		return nil
 	})
 	require.NoError(t, disk.MkdirAll("j", 0o700))
-	o, err := open(errorfs.Wrap(disk, watch), "j", m, clock)
+	o, err := openOwner(errorfs.Wrap(disk, injector), "j", m, clock)
 	require.NoError(t, err)
-	var settled string
-	step := func(err error, waits bool) {
+	var confirmed string
+	step := func(err error, pending bool) {
 		require.NoError(t, err)
 		mu.Lock()
 		defer mu.Unlock()
 		_, s := state(o)
-		if !waits {
-			settled = s
+		if !pending {
+			confirmed = s
 		}
-		states = append(states, known{s, settled})
+		states = append(states, known{s, confirmed})
 	}
 	exchange := func(i int) []schema.Item {
 		at := fmt.Sprintf("/exchanges/exchange[number='%d']/", i)
 		return []schema.Item{{Path: at + "zone", Value: "east"}, {Path: at + "address", Value: fmt.Sprintf("10.0.0.%d:5060", i)}}
 	}
 	step(nil, false)
-	_, err = put(o, datastore.Commit{}, exchange(1)...)
+	_, err = commitItems(o, datastore.Commit{}, exchange(1)...)
 	step(err, false)
-	_, err = put(o, datastore.Commit{Confirmed: true, Timeout: time.Minute, Persist: "p"}, exchange(2)...)
+	_, err = commitItems(o, datastore.Commit{Confirmed: true, Timeout: time.Minute, Persist: "p"}, exchange(2)...)
 	step(err, true)
-	_, err = put(o, datastore.Commit{PersistID: "p"})
+	_, err = commitItems(o, datastore.Commit{PersistID: "p"})
 	step(err, false)
-	_, err = put(o, datastore.Commit{Confirmed: true, Timeout: time.Minute, Persist: "q"}, exchange(3)...)
+	_, err = commitItems(o, datastore.Commit{Confirmed: true, Timeout: time.Minute, Persist: "q"}, exchange(3)...)
 	step(err, true)
 	now = now.Add(2 * time.Minute)
 	o.Tick()
 	step(nil, false)
-	for i := range 20 { // the journal is trimmed on the way
-		_, err = put(o, datastore.Commit{}, schema.Item{Path: "/limits/max-wait", Value: strconv.Itoa(i)})
+	for i := range 20 { // enough for the journal to be trimmed
+		_, err = commitItems(o, datastore.Commit{}, schema.Item{Path: "/limits/max-wait", Value: strconv.Itoa(i)})
 		step(err, false)
 	}
 	who := datastore.Session{}
@@ -175,46 +175,46 @@
 	step(err, false)
 	require.NoError(t, o.Journal.Close())
 
-	half := 0
+	inForce := 0
 	for _, p := range points {
-		again, err := open(p.disk, "j", m, clock)
+		reopened, err := openOwner(p.disk, "j", m, clock)
 		require.NoError(t, err, p.op)
-		_, got := state(again)
-		if p.acked < 0 { // the journal itself was being made
+		_, got := state(reopened)
+		if p.ackedState < 0 { // while the journal was being created
 			require.Equal(t, states[0].restarted, got, p.op)
-		} else if next := states[min(p.acked+1, len(states)-1)]; got != states[p.acked].restarted {
-			require.Equal(t, next.restarted, got, "after %d, %s", p.acked, p.op)
-			half++
+		} else if next := states[min(p.ackedState+1, len(states)-1)]; got != states[p.ackedState].restarted {
+			require.Equal(t, next.restarted, got, "after %d, %s", p.ackedState, p.op)
+			inForce++
 		}
-		require.NoError(t, again.Journal.Close())
+		require.NoError(t, reopened.Journal.Close())
 	}
-	t.Logf("%d fault points, after %d of them the transaction under way was in force", len(points), half)
+	t.Logf("%d fault points, after %d of them the transaction in progress was in force", len(points), inForce)
 	require.Greater(t, len(points), 3*len(states))
-	require.Positive(t, half)
+	require.Positive(t, inForce)
 }
 
-// part is a part that can refuse.
-type part struct {
+// fakePart is a Part that records what it applied, unless refuse returns an error.
+type fakePart struct {
 	refuse func(running *schema.Node) error
-	has    string
+	items  string
 	last   uint64
 }
 
-func (*part) Name() string { return "part" }
+func (*fakePart) Name() string { return "part" }
 
-func (p *part) Apply(n uint64, running *schema.Node, _ []schema.Change) error {
+func (p *fakePart) Apply(n uint64, running *schema.Node, _ []schema.Change) error {
 	if err := p.refuse(running); err != nil {
 		return err
 	}
-	p.last, p.has = n, fmt.Sprint(running.Items())
+	p.last, p.items = n, fmt.Sprint(running.Items())
 	return nil
 }
 
-// TestPartRefuses: what one part can't take is taken back in those that had taken it, and the store, the parts and
-// the journal say the same then; also when the program ended in between.
+// TestPartRefuses checks that a transaction that one part can't apply is reverted in the parts that have applied it, and
+// that the store, the parts and the journal agree afterwards, also if the program ended before the revert.
 func TestPartRefuses(t *testing.T) {
-	m, disk := model(t), vfs.NewMem()
-	take, refuse := &part{refuse: func(*schema.Node) error { return nil }}, &part{}
+	m, disk := loadModel(t), vfs.NewMem()
+	accept, refuse := &fakePart{refuse: func(*schema.Node) error { return nil }}, &fakePart{}
 	refuse.refuse = func(n *schema.Node) error {
 		if l := n.Get("limits"); l != nil {
 			if v, _ := l.Leaf("max-wait"); v == "13" {
@@ -223,81 +223,82 @@
 		}
 		return nil
 	}
-	o, err := open(disk, "j", m, time.Now, take, refuse)
+	o, err := openOwner(disk, "j", m, time.Now, accept, refuse)
 	require.NoError(t, err)
-	_, err = put(o, datastore.Commit{}, schema.Item{Path: "/limits/max-wait", Value: "12"})
+	_, err = commitItems(o, datastore.Commit{}, schema.Item{Path: "/limits/max-wait", Value: "12"})
 	require.NoError(t, err)
-	before := take.has
-	_, err = put(o, datastore.Commit{}, schema.Item{Path: "/limits/max-wait", Value: "13"})
+	before := accept.items
+	_, err = commitItems(o, datastore.Commit{}, schema.Item{Path: "/limits/max-wait", Value: "13"})
 	require.ErrorContains(t, err, "part: transaction 2: no")
-	require.Equal(t, []string{before, before}, []string{take.has, refuse.has})
-	require.Equal(t, []uint64{3, 3}, []uint64{take.last, refuse.last})
-	last, was := state(o)
+	require.Equal(t, []string{before, before}, []string{accept.items, refuse.items})
+	require.Equal(t, []uint64{3, 3}, []uint64{accept.last, refuse.last})
+	last, want := state(o)
 	require.EqualValues(t, 3, last)
-	// The same journal without the way back, as if the program had ended there.
+	// The same journal without the revert, as if the program had ended before it.
 	j, ok := o.Journal.(*journal.Journal)
 	require.True(t, ok)
 	require.NoError(t, j.Append(datastore.Record{N: 4, Kind: datastore.KindCommit,
 		Changes: []schema.Change{{Path: "/limits/max-wait", Old: &[]string{"12"}[0], New: &[]string{"13"}[0]}}}))
 	require.NoError(t, j.Close())
-	o, err = open(disk, "j", m, time.Now, take, refuse)
+	o, err = openOwner(disk, "j", m, time.Now, accept, refuse)
 	require.NoError(t, err)
-	last, is := state(o)
+	last, got := state(o)
 	require.EqualValues(t, 5, last)
-	require.Equal(t, was, is)
+	require.Equal(t, want, got)
 	require.NoError(t, o.Journal.Close())
 }
 
-// TestFullDisk: the disk takes nothing more. The change is refused and not in force, nor is any other from then on;
-// what was acknowledged is there after a start with room.
+// TestFullDisk checks that on a full disk a change fails and is not in force, and that all later changes fail too, also
+// once the disk has free space again.
 func TestFullDisk(t *testing.T) {
-	m, disk := model(t), vfs.NewMem()
+	m, disk := loadModel(t), vfs.NewMem()
 	var full atomic.Bool
-	o, err := open(errorfs.Wrap(disk, errorfs.InjectorFunc(func(op errorfs.Op) error {
+	o, err := openOwner(errorfs.Wrap(disk, errorfs.InjectorFunc(func(op errorfs.Op) error {
 		if full.Load() && op.Kind.ReadOrWrite() == errorfs.OpIsWrite {
 			return syscall.ENOSPC
 		}
 		return nil
 	})), "j", m, time.Now)
 	require.NoError(t, err)
-	_, err = put(o, datastore.Commit{}, schema.Item{Path: "/limits/max-wait", Value: "1"})
+	_, err = commitItems(o, datastore.Commit{}, schema.Item{Path: "/limits/max-wait", Value: "1"})
 	require.NoError(t, err)
-	_, was := state(o)
+	_, want := state(o)
 	full.Store(true)
 	for range 2 {
-		_, err = put(o, datastore.Commit{}, schema.Item{Path: "/limits/max-wait", Value: "2"})
+		_, err = commitItems(o, datastore.Commit{}, schema.Item{Path: "/limits/max-wait", Value: "2"})
 		require.ErrorIs(t, err, journal.ErrBroken)
-		_, is := state(o)
-		require.Equal(t, was, is)
+		_, got := state(o)
+		require.Equal(t, want, got)
 	}
 	full.Store(false)
-	_, err = put(o, datastore.Commit{}, schema.Item{Path: "/limits/max-wait", Value: "2"})
-	require.ErrorIs(t, err, journal.ErrBroken, "what is on disk is not known any more")
+	_, err = commitItems(o, datastore.Commit{}, schema.Item{Path: "/limits/max-wait", Value: "2"})
+	require.ErrorIs(t, err, journal.ErrBroken, "it is not known what is on disk")
 	require.NoError(t, o.Journal.Close())
 }
 
-// TestMain runs the child of TestKills where it is asked for.
+// TestMain runs the child process of TestKills if the environment asks for it.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("TRANSACT_CHILD"); dir != "" {
-		child(dir)
+		runChild(dir)
 	}
 	os.Exit(m.Run())
 }
 
-// child commits for ever: each transaction sets two leaves to its own number, and is acknowledged by a line.
-func child(dir string) {
+// runChild commits until it fails or is killed. Each transaction sets two leaves to its own number. After each one, it
+// prints the number on a line as the acknowledgement.
+func runChild(dir string) {
 	m, err := schema.Load(yang.Files)
 	if err == nil {
 		var o *Owner
-		if o, err = open(vfs.Default, dir, m, time.Now); err == nil {
+		if o, err = openOwner(vfs.Default, dir, m, time.Now); err == nil {
 			for err == nil {
 				last, _ := state(o)
 				n := strconv.FormatUint(last+1, 10)
-				_, err = put(o, datastore.Commit{}, schema.Item{Path: "/limits/max-wait", Value: n}, schema.Item{
+				_, err = commitItems(o, datastore.Commit{}, schema.Item{Path: "/limits/max-wait", Value: n}, schema.Item{
 					Path: "/classes/class[name='a" + n + "']/aim", Value: "1"}, schema.Item{Path: "/classes/class[name='a" + n +
 					"']/deadline", Value: n}, schema.Item{Path: "/classes/class[name='a" + n + "']/worth", Value: "1"})
 				if f := (*datastore.Error)(nil); errors.As(err, &f) && f.Faults[0].AppTag == "too-many-elements" {
-					_, err = change(o, datastore.Commit{}, func(tree *schema.Node) error { // one transaction too
+					_, err = commitChange(o, datastore.Commit{}, func(tree *schema.Node) error { // also a single transaction
 						tree.Get("classes").Drop()
 						return tree.Put(schema.Item{Path: "/limits/max-wait", Value: n})
 					})
@@ -312,15 +313,15 @@
 	os.Exit(3)
 }
 
-// TestKills: the process is killed at random moments (TRANSACT_KILLS of them, else 50). What it acknowledged is there
-// after each, once, and no transaction is there in part.
+// TestKills kills the child process at random moments, TRANSACT_KILLS times or else 50. After each kill, every
+// acknowledged transaction must be stored exactly once, and no transaction may be stored in part.
 func TestKills(t *testing.T) {
-	kills, dir, m := 50, t.TempDir(), model(t)
+	kills, dir, m := 50, t.TempDir(), loadModel(t)
 	if n, err := strconv.Atoi(os.Getenv("TRANSACT_KILLS")); err == nil {
 		kills = n
 	}
 	random := rand.New(rand.NewPCG(7, 7))
-	acked, under := uint64(0), 0
+	acked, unacked := uint64(0), 0
 	for range kills {
 		c := exec.Command(os.Args[0])
 		c.Env = append(os.Environ(), "TRANSACT_CHILD="+dir)
@@ -329,7 +330,7 @@
 		require.NoError(t, err)
 		require.NoError(t, c.Start())
 		lines := bufio.NewReader(out)
-		for range 1 + random.IntN(12) { // killed at some moment after so many
+		for range 1 + random.IntN(12) { // the number of transactions to wait for before the kill
 			line, err := lines.ReadString('\n')
 			require.NoError(t, err)
 			acked, err = strconv.ParseUint(strings.TrimSpace(line), 10, 64)
@@ -345,14 +346,14 @@
 				require.NoError(t, err)
 			}
 		}
-		_ = c.Wait() // it was killed
-		o, err := open(vfs.Default, dir, m, time.Now)
+		_ = c.Wait() // the error only says that it was killed
+		o, err := openOwner(vfs.Default, dir, m, time.Now)
 		require.NoError(t, err)
 		o.Look(func(s *datastore.Store) {
-			require.GreaterOrEqual(t, s.Last(), acked, "nothing acknowledged is lost")
-			require.LessOrEqual(t, s.Last(), acked+1, "nothing is doubled")
+			require.GreaterOrEqual(t, s.Last(), acked, "no acknowledged transaction is lost")
+			require.LessOrEqual(t, s.Last(), acked+1, "no transaction is stored twice")
 			if s.Last() > acked {
-				under++
+				unacked++
 			}
 			running, err := s.Get(datastore.Running)
 			require.NoError(t, err)
@@ -367,5 +368,5 @@
 		})
 		require.NoError(t, o.Journal.Close())
 	}
-	t.Logf("%d kills, %d transactions acknowledged, %d found that were under way", kills, acked, under)
+	t.Logf("%d kills, %d transactions acknowledged, %d found that were in progress", kills, acked, unacked)
 }
--- a/internal/transact/transact.go
+++ b/internal/transact/transact.go
@@ -1,6 +1,6 @@
-// Package transact carries the configuration's transactions out: it makes each durable, lets it take effect part by
-// part, and takes it back where a part can't. It owns a datastore.Store and the journal; what is decided is decided
-// there. It knows nothing of wires, and of the program only its parts.
+// Package transact executes configuration transactions: it makes each one durable, applies it to the parts of the
+// program one by one, and reverts it if a part fails. It owns a datastore.Store, which makes the decisions, and the
+// journal. It is independent of the management protocols, and accesses the program only through the Part interface.
 package transact
 
 import (
@@ -14,65 +14,67 @@
 	"brookmux/internal/schema"
 )
 
-// Part is a part of the program that configuration takes effect in, as the engine, the directory or a front.
+// Part is a part of the program that configuration is applied to, such as the engine, the directory or a front.
 type Part interface {
-	// Name is for the log.
+	// Name returns the name of the part for error messages.
 	Name() string
-	// Apply lets a revision take effect. The same one may come again, and one that is older than what has taken
-	// effect may not: what counts is the whole tree, the changes only say where to look. It must not block on
-	// calls. An error takes the transaction back.
+	// Apply applies a revision. It may be called again with the same revision, but never with an older one than
+	// before. The whole tree is the configuration to apply; the changes are only a hint where to look, and may be
+	// empty. Apply must not modify the tree or block on calls. If it returns an error, the transaction is reverted.
 	Apply(revision uint64, running *schema.Node, changes []schema.Change) error
 }
 
-// Journal keeps records; *journal.Journal is one. nil is one in memory.
+// Journal stores records durably; *journal.Journal implements it. With a nil Journal, an Owner keeps records in memory
+// only.
 type Journal interface {
 	Append(datastore.Record) error
 	Trim(base datastore.Record) error
 	Close() error
 }
 
-// Event tells that a transaction was made, for notifications and subscriptions.
+// Event describes a completed transaction, for notifications and subscriptions.
 type Event struct {
 	datastore.Record
-	Running *schema.Node // after it; not to be changed
-	Failed  string       // why it was taken back right away, if it was
+	Running *schema.Node // after the transaction; read-only
+	Failed  string       // why a part could not apply it, so that it is reverted; empty if it is in force
 }
 
-// Config says what an Owner is.
+// Config holds the parameters of an Owner.
 type Config struct {
 	Store   datastore.Config
 	Journal Journal
-	Kept    []datastore.Record // that the journal held when it was opened
+	Kept    []datastore.Record // records read from the journal when it was opened
 	Parts   []Part
 	Now     func() time.Time
 	Log     *slog.Logger
-	Told    func(Event) // called with each transaction, in order; must not block or call back
+	Told    func(Event) // called with each transaction, in order; must not block or call the Owner; may be nil
 }
 
-// Owner serves sessions, one request at a time. No call of a border controller waits for it.
+// Owner serializes the requests of all sessions to its Store and executes their transactions. It is safe for concurrent
+// use. Call processing never waits for it.
 type Owner struct {
 	Config
 	mu    sync.Mutex
 	store *datastore.Store
 }
 
-// New returns an Owner that has taken up what the journal held: a commit that waited for its confirmation is taken
-// back, and all parts have what is in force.
+// New returns an Owner with the state restored from Config.Kept. It reverts a commit that was still pending, and applies
+// the running configuration to all parts.
 func New(c Config) (*Owner, error) {
 	store, err := datastore.New(c.Store)
 	if err != nil {
 		return nil, err
 	}
 	o := &Owner{Config: c, store: store}
-	back, err := store.Restore(c.Kept, c.Now())
+	revert, err := store.Restore(c.Kept, c.Now())
 	if err != nil {
 		return nil, err
 	}
-	if back != nil {
-		if err := o.record(back); err != nil {
+	if revert != nil {
+		if err := o.persist(revert); err != nil {
 			return nil, err
 		}
-		o.tell(back, "")
+		o.notify(revert, "")
 	}
 	running, err := store.Get(datastore.Running)
 	if err != nil {
@@ -80,34 +82,34 @@
 	}
 	now := &datastore.Txn{Record: datastore.Record{N: store.Last(), Kind: datastore.KindBase}, New: running}
 	if failed := o.apply(now); failed != nil {
-		// It ended between making a transaction and finding that it can't take effect.
-		back := store.Failed(now, c.Now(), failed.Error())
-		if back == nil {
+		// The process ended after this transaction was made durable and before its revert, which a part's error requires.
+		revert := store.RevertFailed(now, c.Now(), failed.Error())
+		if revert == nil {
 			return nil, failed
 		}
-		if err := o.carry(back); err != nil {
+		if err := o.execute(revert); err != nil {
 			return nil, errors.Join(failed, err)
 		}
 	}
 	return o, nil
 }
 
-// Look lets f read the store; it must not keep it.
+// Look calls f with the store, for reading. f must not retain the store.
 func (o *Owner) Look(f func(*datastore.Store)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	f(o.store)
 }
 
-// Do lets f do something that makes no transaction, as an edit of the candidate or a lock.
+// Do calls f with the store for an operation that begins no transaction, such as an edit of the candidate or a lock.
 func (o *Owner) Do(f func(*datastore.Store) error) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return f(o.store)
 }
 
-// Make carries out the transaction that f begins, and returns its record. When it returns nil, the transaction is
-// durable and in force in all parts.
+// Make executes the transaction that f begins, and returns its record. If the error is nil, the transaction is durable
+// and applied to all parts. If f returns a nil transaction, Make returns a zero record.
 func (o *Owner) Make(f func(*datastore.Store, time.Time) (*datastore.Txn, error)) (datastore.Record, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -115,17 +117,17 @@
 	if err != nil || t == nil {
 		return datastore.Record{}, err
 	}
-	return t.Record, o.carry(t)
+	return t.Record, o.execute(t)
 }
 
-// Close ends a session.
+// Close ends a session, and reverts its pending commit if that does not outlive the session.
 func (o *Owner) Close(id datastore.SessionID) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.settle(o.store.Close(id, o.Now()))
+	o.executeRevert(o.store.Close(id, o.Now()))
 }
 
-// End closes the journal, once nothing is under way. What comes after that is refused by it.
+// End waits for the request in progress and closes the journal. Later transactions fail if there is a journal.
 func (o *Owner) End() error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -135,66 +137,68 @@
 	return o.Journal.Close()
 }
 
-// Tick takes back a commit whose time for a confirmation is up. It is called some times a second.
+// Tick reverts a pending commit whose confirmation timeout has expired. The caller calls it a few times per second.
 func (o *Owner) Tick() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.settle(o.store.Expired(o.Now()))
+	o.executeRevert(o.store.RevertExpired(o.Now()))
 }
 
-// settle carries out a way back that nobody waits for.
-func (o *Owner) settle(t *datastore.Txn) {
+// executeRevert executes a revert that no session requested, if t is not nil, and logs its failure. The lock is held.
+func (o *Owner) executeRevert(t *datastore.Txn) {
 	if t == nil {
 		return
 	}
-	if err := o.carry(t); err != nil {
-		o.Log.Error("configuration not taken back", "transaction", t.N, "error", err)
+	if err := o.execute(t); err != nil {
+		o.Log.Error("configuration change not reverted", "transaction", t.N, "error", err)
 	}
 }
 
-// carry makes a transaction durable and lets it take effect. The lock is held.
-func (o *Owner) carry(t *datastore.Txn) error {
-	if err := o.record(t); err != nil {
+// execute makes a transaction durable and applies it. If a part fails, it reverts the transaction and returns the error.
+// The lock is held.
+func (o *Owner) execute(t *datastore.Txn) error {
+	if err := o.persist(t); err != nil {
 		return err
 	}
 	failed := o.apply(t)
 	if failed == nil {
-		o.tell(t, "")
-		o.trim()
+		o.notify(t, "")
+		o.trimJournal()
 		return nil
 	}
-	o.tell(t, failed.Error())
-	back := o.store.Failed(t, o.Now(), failed.Error())
-	if back == nil {
+	o.notify(t, failed.Error())
+	revert := o.store.RevertFailed(t, o.Now(), failed.Error())
+	if revert == nil {
 		return failed
 	}
-	err := o.record(back)
+	err := o.persist(revert)
 	if err == nil {
-		if err = o.apply(back); err == nil {
-			o.tell(back, "")
+		if err = o.apply(revert); err == nil {
+			o.notify(revert, "")
 		}
 	}
 	if err != nil {
-		o.Log.Error("configuration not taken back", "transaction", t.N, "error", err)
+		o.Log.Error("configuration change not reverted", "transaction", t.N, "error", err)
 	}
 	return errors.Join(failed, err)
 }
 
-// record makes a transaction durable, and in force as far as the store goes.
-func (o *Owner) record(t *datastore.Txn) error {
-	if err := o.store.Ready(t); err != nil {
+// persist makes a transaction durable in the journal and completes it in the store. It does not apply it to the parts.
+func (o *Owner) persist(t *datastore.Txn) error {
+	if err := o.store.CheckReady(t); err != nil {
 		return err
 	}
 	if o.Journal != nil {
 		if err := o.Journal.Append(t.Record); err != nil {
-			o.store.Dropped(t)
+			o.store.Abort(t)
 			return fmt.Errorf("transact: transaction %d: %w", t.N, err)
 		}
 	}
-	return o.store.Made(t)
+	return o.store.Complete(t)
 }
 
-// apply lets a transaction take effect in all parts.
+// apply applies a transaction to all parts, up to the first that fails. A startup change or a confirmation does not
+// change running and is not applied.
 func (o *Owner) apply(t *datastore.Txn) error {
 	if t.Kind == datastore.KindStartup || t.Kind == datastore.KindConfirm {
 		return nil
@@ -207,8 +211,8 @@
 	return nil
 }
 
-// tell logs a transaction and hands it on: the audit trail.
-func (o *Owner) tell(t *datastore.Txn, failed string) {
+// notify logs a transaction, for the audit trail, and passes it to Config.Told.
+func (o *Owner) notify(t *datastore.Txn, failed string) {
 	o.Log.Info("configuration", "transaction", t.N, "kind", string(t.Kind), "session", uint32(t.Session), "user", t.User,
 		"via", t.Via, "changes", len(t.Changes), "comment", t.Comment, "failed", failed)
 	if o.Told != nil {
@@ -216,8 +220,8 @@
 	}
 }
 
-// trim keeps the journal bounded. What was made stays made if that can't be done.
-func (o *Owner) trim() {
+// trimJournal bounds the size of the journal and the history. A failure is logged only; the transactions stay in force.
+func (o *Owner) trimJournal() {
 	base, ok, err := o.store.Trim()
 	if err == nil && ok && o.Journal != nil {
 		err = o.Journal.Trim(base)
@@ -225,6 +229,6 @@
 	if err != nil {
 		o.Log.Error("journal not trimmed", "error", err)
 	} else if ok {
-		o.store.Trimmed(base)
+		o.store.FinishTrim(base)
 	}
 }
