--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,6 +1,6 @@
-// Package journal keeps the records of the configuration's transactions on disk: one is there as a whole or not at
-// all, whatever ends the process and whenever. It knows the order and the checksums of records, and nothing of what
-// is in them.
+// Package journal stores the records of configuration transactions on disk. A record is stored as a whole or not at
+// all, however and whenever the process ends. The package handles the order and the checksums of records; apart from
+// their number and kind, it does not interpret them.
 package journal
 
 import (
@@ -21,31 +21,32 @@
 	"brookmux/internal/datastore"
 )
 
-// Sizes: a journal holds some hundred records, of which few are read after the start.
+// Sizes, in bytes except for maxOpenFiles. They are small because a journal holds a few hundred records and is read only
+// at the start.
 const (
-	memTable  = 1 << 20
-	cacheSize = 1 << 20
-	openFiles = 16
-	sumSize   = 16
-	mostBytes = 16 << 20 // of one record
+	memTableSize   = 1 << 20
+	cacheSize      = 1 << 20
+	maxOpenFiles   = 16
+	checksumSize   = 16
+	maxRecordBytes = 16 << 20 // of one encoded record
 )
 
-// ErrBroken tells that a record could not be written, as on a full disk, and that nothing more will be until the
-// journal is opened again. Whether the record that failed is found then is not known.
+// ErrBroken is returned when a record could not be written, for example on a full disk, and for every later write until
+// the journal is reopened. The record that failed may or may not be found then.
 var ErrBroken = errors.New("journal: broken")
 
-// Names in the folder.
+// Names in the journal's folder.
 const (
-	recordsDir = "records" // of the storage library
-	recordsNew = "records.new"
-	lastFile   = "last" // the number of the last record, by itself; see Journal.witness
-	lastNext   = "last.new"
+	recordsDir     = "records" // the database of the storage library (pebble)
+	recordsTempDir = "records.new"
+	lastFile       = "last" // the number of the last record; see Journal.writeLast
+	lastTempFile   = "last.new"
 )
 
-// errClosed tells that the journal was closed.
+// errClosed is returned for writes after Close.
 var errClosed = errors.New("journal: closed")
 
-// Journal is open on a folder. Its methods may be called by one goroutine at a time.
+// Journal is an open journal in a folder. It is not safe for concurrent use.
 type Journal struct {
 	db     *pebble.DB
 	cache  *pebble.Cache
@@ -54,17 +55,17 @@
 	broken error
 }
 
-// fatal is what the storage library can't go on after.
-type fatal struct{ text string }
+// fatalError is the panic value for a failure after which the storage library can't continue.
+type fatalError struct{ text string }
 
-// logger hands the library's words on. Its Fatalf must not return, and must not end the process: the panic is
-// caught where the library was called.
+// logger passes the storage library's messages to log; once limits fatal messages to the first. Fatalf must not return
+// and must not end the process, so it panics; recoverFatal recovers the panic where the library was called.
 type logger struct {
 	log  *slog.Logger
 	once *sync.Once
 }
 
-// Infof and the methods below implement pebble.Logger.
+// Infof, Errorf and Fatalf implement pebble.Logger. Info messages are dropped.
 func (logger) Infof(string, ...any) {}
 
 func (l logger) Errorf(format string, args ...any) {
@@ -74,29 +75,30 @@
 func (l logger) Fatalf(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	l.once.Do(func() { l.log.Error("journal", "line", text) })
-	panic(fatal{text})
+	panic(fatalError{text})
 }
 
-// Open opens the journal in a folder and returns it with the records that it holds, in their order. A record that
-// was damaged is an error that names it: what came after it would be wrong without it.
+// Open opens the journal in a folder, which it creates if needed, and returns it with its records in order. A damaged
+// record is an error that names the record, as the records after it can't be applied without it.
 func Open(fs vfs.FS, dir string, log *slog.Logger) (j *Journal, records []datastore.Record, err error) {
-	defer caught(&err)
+	defer recoverFatal(&err)
 	if err := errors.Join(fs.MkdirAll(dir, 0o700), syncDir(fs, fs.PathDir(dir))); err != nil {
 		return nil, nil, fmt.Errorf("journal: %w", err)
 	}
-	path, made := fs.PathJoin(dir, recordsDir), fs.PathJoin(dir, recordsNew)
+	path, tempPath := fs.PathJoin(dir, recordsDir), fs.PathJoin(dir, recordsTempDir)
 	if _, err := fs.Stat(path); oserror.IsNotExist(err) {
-		// The library's own first files are not safe from a power cut: they get their name once they are whole.
-		if err := fs.RemoveAll(made); err != nil {
+		// The first files that the library creates are not safe from a power cut, so the database is created under a
+		// temporary name and renamed once it is complete.
+		if err := fs.RemoveAll(tempPath); err != nil {
 			return nil, nil, fmt.Errorf("journal: %w", err)
 		}
-		db, cache, err := openRecords(fs, made, log)
+		db, cache, err := openRecords(fs, tempPath, log)
 		if err != nil {
 			return nil, nil, err
 		}
 		err = db.Close()
 		cache.Unref()
-		if err := errors.Join(err, fs.Rename(made, path), syncDir(fs, dir)); err != nil {
+		if err := errors.Join(err, fs.Rename(tempPath, path), syncDir(fs, dir)); err != nil {
 			return nil, nil, fmt.Errorf("journal: %w", err)
 		}
 	}
@@ -105,8 +107,8 @@
 		return nil, nil, err
 	}
 	j = &Journal{db: db, cache: cache, fs: fs, dir: dir}
-	if records, err = j.read(); err == nil {
-		err = j.whole(records)
+	if records, err = j.readRecords(); err == nil {
+		err = j.checkLast(records)
 	}
 	if err != nil {
 		return nil, nil, errors.Join(fmt.Errorf("journal: %s: %w", dir, err), j.Close())
@@ -114,10 +116,10 @@
 	return j, records, nil
 }
 
-// openRecords opens the storage library.
+// openRecords opens the database of records. The caller must close it and then release the cache.
 func openRecords(fs vfs.FS, path string, log *slog.Logger) (*pebble.DB, *pebble.Cache, error) {
 	cache := pebble.NewCache(cacheSize)
-	db, err := pebble.Open(path, &pebble.Options{FS: fs, Cache: cache, MemTableSize: memTable, MaxOpenFiles: openFiles,
+	db, err := pebble.Open(path, &pebble.Options{FS: fs, Cache: cache, MemTableSize: memTableSize, MaxOpenFiles: maxOpenFiles,
 		Logger: logger{log, &sync.Once{}}, FormatMajorVersion: pebble.FormatNewest})
 	if err != nil {
 		cache.Unref()
@@ -126,19 +128,20 @@
 	return db, cache, nil
 }
 
-// caught turns what the library can't go on after into an error.
-func caught(err *error) {
+// recoverFatal recovers a panic of logger.Fatalf and stores it in err as an ErrBroken. It must be deferred directly.
+// Other panics continue.
+func recoverFatal(err *error) {
 	switch p := recover().(type) {
 	case nil:
-	case fatal:
+	case fatalError:
 		*err = fmt.Errorf("%w: %s", ErrBroken, p.text)
 	default:
 		panic(p)
 	}
 }
 
-// read reads all records.
-func (j *Journal) read() (records []datastore.Record, err error) {
+// readRecords reads all records in order and verifies their checksums and numbers.
+func (j *Journal) readRecords() (records []datastore.Record, err error) {
 	it, err := j.db.NewIter(nil)
 	if err != nil {
 		return nil, err
@@ -150,32 +153,32 @@
 			return nil, err
 		}
 		key := it.Key()
-		if len(key) != 8 || len(value) < sumSize {
+		if len(key) != 8 || len(value) < checksumSize {
 			return nil, fmt.Errorf("record %x is damaged", key)
 		}
 		n := binary.BigEndian.Uint64(key)
-		if s := sum(key, value[sumSize:]); !bytes.Equal(s[:], value[:sumSize]) {
+		if s := checksum(key, value[checksumSize:]); !bytes.Equal(s[:], value[:checksumSize]) {
 			return nil, fmt.Errorf("record %d is damaged: its checksum is wrong", n)
 		}
 		var r datastore.Record
-		if err := json.Unmarshal(value[sumSize:], &r); err != nil {
+		if err := json.Unmarshal(value[checksumSize:], &r); err != nil {
 			return nil, fmt.Errorf("record %d: %w", n, err)
 		}
 		if r.N != n {
-			return nil, fmt.Errorf("record %d is damaged: it says that it is %d", n, r.N)
+			return nil, fmt.Errorf("record %d is damaged: it contains the number %d", n, r.N)
 		}
 		records = append(records, r)
 	}
 	return records, nil
 }
 
-// witness keeps the number of the last record in a file of its own, once that record is on disk. The library takes
-// damage in its last log for the place where a power cut ended it, and what follows for never written; without a
-// second place, acknowledged records could be gone and nobody would know.
-func (j *Journal) witness(n uint64) error {
-	k := key(n)
-	s := sum([]byte(lastFile), k)
-	next := j.fs.PathJoin(j.dir, lastNext)
+// writeLast writes the number of the last record to a separate file, after that record is on disk. The library treats
+// damage in its last log as the point where a power cut ended the log, and drops what follows as never written. Without
+// the separate file, acknowledged records could be lost unnoticed.
+func (j *Journal) writeLast(n uint64) error {
+	k := recordKey(n)
+	s := checksum([]byte(lastFile), k)
+	next := j.fs.PathJoin(j.dir, lastTempFile)
 	f, err := j.fs.Create(next, vfs.WriteCategoryUnspecified)
 	if err != nil {
 		return err
@@ -190,7 +193,7 @@
 	return syncDir(j.fs, j.dir)
 }
 
-// syncDir makes the names in a folder durable.
+// syncDir makes the creation and renaming of files in a folder durable.
 func syncDir(fs vfs.FS, dir string) error {
 	d, err := fs.OpenDir(dir)
 	if err != nil {
@@ -199,11 +202,11 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// whole tells whether the records reach as far as the last that was acknowledged.
-func (j *Journal) whole(records []datastore.Record) error {
+// checkLast returns an error if the records end before the last acknowledged one, whose number writeLast has stored.
+func (j *Journal) checkLast(records []datastore.Record) error {
 	f, err := j.fs.Open(j.fs.PathJoin(j.dir, lastFile))
 	if oserror.IsNotExist(err) {
-		if len(records) > 1 { // the first may have been cut off before the file was made
+		if len(records) > 1 { // with one record, the process may have ended before the file was created
 			return fmt.Errorf("%s is missing", lastFile)
 		}
 		return nil
@@ -211,64 +214,65 @@
 	if err != nil {
 		return err
 	}
-	defer f.Close() // it was only read
-	b, err := io.ReadAll(io.LimitReader(f, sumSize+9))
+	defer f.Close() // read only, so the error does not matter
+	b, err := io.ReadAll(io.LimitReader(f, checksumSize+9))
 	if err != nil {
 		return err
 	}
-	if len(b) != sumSize+8 {
+	if len(b) != checksumSize+8 {
 		return fmt.Errorf("%s is damaged: it has %d bytes", lastFile, len(b))
 	}
-	if s := sum([]byte(lastFile), b[sumSize:]); !bytes.Equal(s[:], b[:sumSize]) {
+	if s := checksum([]byte(lastFile), b[checksumSize:]); !bytes.Equal(s[:], b[:checksumSize]) {
 		return fmt.Errorf("%s is damaged: its checksum is wrong", lastFile)
 	}
 	last := uint64(0)
 	if len(records) > 0 {
 		last = records[len(records)-1].N
 	}
-	if n := binary.BigEndian.Uint64(b[sumSize:]); n > last {
+	if n := binary.BigEndian.Uint64(b[checksumSize:]); n > last {
 		return fmt.Errorf("record %d was acknowledged, and the last that can be read is %d: the log is damaged", n, last)
 	}
 	return nil
 }
 
-// sum is a record's checksum. The key is part of it: a record can't take another's place.
-func sum(key, payload []byte) (out [sumSize]byte) {
-	h := blake3.New(sumSize, nil)
+// checksum returns the checksum of a record. It covers the key, so a record stored under another's key is detected.
+func checksum(key, payload []byte) (out [checksumSize]byte) {
+	h := blake3.New(checksumSize, nil)
 	_, _ = h.Write(key) // never fails, see hash.Hash
 	_, _ = h.Write(payload)
 	copy(out[:], h.Sum(nil))
 	return out
 }
 
-func key(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+// recordKey returns the key of record n. Keys sort in the order of the numbers.
+func recordKey(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// encode writes a record.
+// encode returns the key of a record and its value, the checksum followed by the JSON encoding.
 func encode(r datastore.Record) (k, value []byte, err error) {
 	payload, err := json.Marshal(r)
 	if err != nil {
 		return nil, nil, fmt.Errorf("journal: record %d: %w", r.N, err)
 	}
-	if len(payload) > mostBytes {
-		return nil, nil, fmt.Errorf("journal: record %d has %d bytes, %d are the most", r.N, len(payload), mostBytes)
+	if len(payload) > maxRecordBytes {
+		return nil, nil, fmt.Errorf("journal: record %d has %d bytes, %d are the most", r.N, len(payload), maxRecordBytes)
 	}
-	k = key(r.N)
-	s := sum(k, payload)
+	k = recordKey(r.N)
+	s := checksum(k, payload)
 	return k, append(s[:], payload...), nil
 }
 
-// Append keeps a record. When it returns nil, the record is on disk.
+// Append stores a record. When it returns nil, the record is on disk.
 func (j *Journal) Append(r datastore.Record) error {
-	return j.write(r, nil)
+	return j.writeRecord(r, nil)
 }
 
-// Trim puts a base in the place of all records up to its number, in one step.
+// Trim replaces all records up to and including the base's number with the base, atomically.
 func (j *Journal) Trim(base datastore.Record) error {
-	return j.write(base, func(b *pebble.Batch) error { return b.DeleteRange(key(0), key(base.N), nil) })
+	return j.writeRecord(base, func(b *pebble.Batch) error { return b.DeleteRange(recordKey(0), recordKey(base.N), nil) })
 }
 
-// write writes a record, and what goes with it before that.
-func (j *Journal) write(r datastore.Record, before func(*pebble.Batch) error) (err error) {
+// writeRecord writes a record in one batch with the operations that prepare adds first, if it is not nil.
+func (j *Journal) writeRecord(r datastore.Record, prepare func(*pebble.Batch) error) (err error) {
 	if j.broken != nil {
 		return j.broken
 	}
@@ -284,10 +288,10 @@
 			j.broken = err
 		}
 	}()
-	defer caught(&err)
+	defer recoverFatal(&err)
 	b := j.db.NewBatch()
-	if before != nil {
-		if err := before(b); err != nil {
+	if prepare != nil {
+		if err := prepare(b); err != nil {
 			return err
 		}
 	}
@@ -298,14 +302,15 @@
 		return err
 	}
 	if r.Kind == datastore.KindBase {
-		return nil // what came after it stays the last
+		return nil // a base replaces older records; the last record is still the same
 	}
-	return j.witness(r.N)
+	return j.writeLast(r.N)
 }
 
-// Close ends the journal. One that is broken is left as it is: the library would wait for what can't be written.
+// Close closes the journal. It leaves the database of a broken journal open, as the library would wait for writes that
+// can't succeed.
 func (j *Journal) Close() (err error) {
-	defer caught(&err)
+	defer recoverFatal(&err)
 	defer j.cache.Unref()
 	if j.broken != nil {
 		return nil
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -14,11 +14,11 @@
 	"brookmux/internal/datastore"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
-// fill makes a journal of records 1 to n.
-func fill(t *testing.T, fs vfs.FS, n uint64) (records []datastore.Record) {
-	j, kept, err := Open(fs, "j", quiet)
+// fillJournal creates a journal with records 1 to n and returns them.
+func fillJournal(t *testing.T, fs vfs.FS, n uint64) (records []datastore.Record) {
+	j, kept, err := Open(fs, "j", discardLog)
 	require.NoError(t, err)
 	require.Empty(t, kept)
 	for i := range n {
@@ -30,8 +30,7 @@
 	return records
 }
 
-// read reads a file.
-func read(t *testing.T, fs vfs.FS, path string) []byte {
+func readFile(t *testing.T, fs vfs.FS, path string) []byte {
 	f, err := fs.Open(path)
 	require.NoError(t, err)
 	defer f.Close()
@@ -40,8 +39,8 @@
 	return b
 }
 
-// write puts a file in another's place.
-func write(t *testing.T, fs vfs.FS, path string, b []byte) {
+// writeFile replaces the content of a file.
+func writeFile(t *testing.T, fs vfs.FS, path string, b []byte) {
 	f, err := fs.Create(path, vfs.WriteCategoryUnspecified)
 	require.NoError(t, err)
 	_, err = f.Write(b)
@@ -50,14 +49,14 @@
 	require.NoError(t, f.Close())
 }
 
-// TestFlipped: one byte of what is on disk is wrong, each in turn. The journal is as it was or does not open; no record
-// is missing or other than it was.
+// TestFlipped changes one bit of each byte on disk in turn. The journal must then either fail to open or return all
+// records unchanged: no damage may go unnoticed.
 func TestFlipped(t *testing.T) {
 	disk := vfs.NewMem()
-	records := fill(t, disk, 12)
+	records := fillJournal(t, disk, 12)
 	names, err := disk.List("j/records")
 	require.NoError(t, err)
-	tried, refused := 0, 0
+	flipped, refused := 0, 0
 	for _, name := range append(names, "../last") {
 		path := disk.PathJoin("j/records", name)
 		if name == "../last" {
@@ -65,17 +64,17 @@
 		} else if !strings.HasSuffix(name, ".log") && !strings.HasSuffix(name, ".sst") {
 			continue
 		}
-		whole := read(t, disk, path)
-		for i := range whole {
-			copied := vfs.NewMem()
-			ok, err := vfs.Clone(disk, copied, "j", "j")
+		original := readFile(t, disk, path)
+		for i := range original {
+			clone := vfs.NewMem()
+			ok, err := vfs.Clone(disk, clone, "j", "j")
 			require.NoError(t, err)
 			require.True(t, ok)
-			b := append([]byte(nil), whole...)
+			b := append([]byte(nil), original...)
 			b[i] ^= 0x40
-			write(t, copied, path, b)
-			tried++
-			j, kept, err := Open(copied, "j", quiet)
+			writeFile(t, clone, path, b)
+			flipped++
+			j, kept, err := Open(clone, "j", discardLog)
 			if err != nil {
 				refused++
 				continue
@@ -84,14 +83,14 @@
 			require.NoError(t, j.Close())
 		}
 	}
-	t.Logf("%d bytes flipped, %d times refused", tried, refused)
-	require.Greater(t, tried, 1000)
+	t.Logf("%d bytes changed, %d journals did not open", flipped, refused)
+	require.Greater(t, flipped, 1000)
 }
 
-// TestDamaged: a record that the library takes for whole and that is not is named.
+// TestDamaged checks that the error names a damaged record that the library itself reads without an error.
 func TestDamaged(t *testing.T) {
 	disk := vfs.NewMem()
-	fill(t, disk, 3)
+	fillJournal(t, disk, 3)
 	for _, c := range []struct {
 		words string
 		at    uint64
@@ -99,34 +98,34 @@
 	}{{"record 2 is damaged: its checksum", 2, func(b []byte) []byte { b[len(b)-3]++; return b }},
 		{"record 0000000000000002 is damaged", 2, func([]byte) []byte { return []byte("short") }},
 		{"record 3 is damaged", 3, func([]byte) []byte { _, v, _ := encode(datastore.Record{N: 1}); return v }}} {
-		copied := vfs.NewMem()
-		_, err := vfs.Clone(disk, copied, "j", "j")
+		clone := vfs.NewMem()
+		_, err := vfs.Clone(disk, clone, "j", "j")
 		require.NoError(t, err)
-		j, _, err := Open(copied, "j", quiet)
+		j, _, err := Open(clone, "j", discardLog)
 		require.NoError(t, err)
-		v, closer, err := j.db.Get(key(c.at))
+		v, closer, err := j.db.Get(recordKey(c.at))
 		require.NoError(t, err)
 		b := c.with(append([]byte(nil), v...))
 		require.NoError(t, closer.Close())
-		require.NoError(t, j.db.Set(key(c.at), b, pebble.Sync))
+		require.NoError(t, j.db.Set(recordKey(c.at), b, pebble.Sync))
 		require.NoError(t, j.Close())
-		_, _, err = Open(copied, "j", quiet)
+		_, _, err = Open(clone, "j", discardLog)
 		require.ErrorContains(t, err, c.words)
 	}
 }
 
-// TestTrim: a base takes the place of all before it, and what came later stays.
+// TestTrim checks that a base replaces all records up to its number and that later records stay.
 func TestTrim(t *testing.T) {
 	disk := vfs.NewMem()
-	records := fill(t, disk, 9)
-	j, _, err := Open(disk, "j", quiet)
+	records := fillJournal(t, disk, 9)
+	j, _, err := Open(disk, "j", discardLog)
 	require.NoError(t, err)
 	base := datastore.Record{N: 5, Kind: datastore.KindBase, At: time.Unix(0, 0).UTC()}
 	require.NoError(t, j.Trim(base))
-	require.ErrorContains(t, j.Append(datastore.Record{N: 10, Comment: strings.Repeat("x", mostBytes)}), "are the most")
-	require.NoError(t, j.Append(datastore.Record{N: 10, Kind: datastore.KindConfirm, At: base.At}), "that broke nothing")
+	require.ErrorContains(t, j.Append(datastore.Record{N: 10, Comment: strings.Repeat("x", maxRecordBytes)}), "are the most")
+	require.NoError(t, j.Append(datastore.Record{N: 10, Kind: datastore.KindConfirm, At: base.At}), "a record that is too large does not break the journal")
 	require.NoError(t, j.Close())
-	_, kept, err := Open(disk, "j", quiet)
+	_, kept, err := Open(disk, "j", discardLog)
 	require.NoError(t, err)
 	require.Equal(t, append(append([]datastore.Record{base}, records[5:]...),
 		datastore.Record{N: 10, Kind: datastore.KindConfirm, At: base.At}), kept)
