--- a/internal/intent/intent.go
+++ b/internal/intent/intent.go
@@ -1,16 +1,17 @@
-// Package intent turns the running configuration into what the parts of the program take, and decides whose word
-// counts where operators and the platform speak of the same thing (RFC 8342, 5.3.4). It has no I/O, no clock and no
-// goroutine, and does not know how configuration came to be.
+// Package intent converts the running configuration to the form that the parts of the program use, and resolves the
+// precedence between operators' configuration and the platform's data (RFC 8342, 5.3.4). It has no I/O, no clock and no
+// goroutine, and does not depend on how the configuration was changed.
 //
-// Whose word counts, node by node:
+// The precedence by kind of node:
 //
-//   - An exchange that the platform's list has is where and since when the list says (learned). What operators set of
-//     it can only take work away: draining or out-of-service holds, in-service does not undo a drain of the list. One
-//     that the list has had and has no more is gone, whatever is set of it, until the list has it again.
-//   - An exchange that only operators have set is as they set it (intended).
-//   - Aims, deadlines and worth of classes, and bounds, are what operators set; what they did not set is what the
-//     platform's settings say (system). Classes that the platform does not have can't be added: their widths and
-//     effects are the platform's.
+//   - An exchange in the platform's membership list has its address, zone and start time from the list (learned).
+//     Operators' configuration can only keep new calls away from it: draining and out-of-service apply, but in-service
+//     does not undo a drain from the list. An exchange that was listed and no longer is counts as gone, whatever is
+//     configured for it, until it is listed again.
+//   - An exchange that only operators have configured is as configured (intended).
+//   - Aims, deadlines and worth of classes, and limits, are as operators configured them; where they configured none,
+//     the platform's settings apply (system). Configuration can't add classes that the platform does not have, as their
+//     widths and effects come from the platform.
 package intent
 
 import (
@@ -25,7 +26,7 @@
 	"brookmux/internal/settings"
 )
 
-// Origin is whose word is in force.
+// Origin is the source of the value in force.
 type Origin string
 
 // The origins (RFC 8342, 5.3.4).
@@ -35,33 +36,34 @@
 	System   Origin = "system"
 )
 
-// Linger is how long an exchange that was taken out of the configuration goes on with the calls that stand on it,
-// as a drain: until then it is known, and gets nothing new.
-const Linger = 2 * time.Minute
+// DrainAfterRemoval is how long an exchange that was removed from the configuration stays known as draining: its
+// standing calls continue and it gets no new ones.
+const DrainAfterRemoval = 2 * time.Minute
 
-// Exchange is one that operators have set.
+// Exchange is an exchange as operators have configured it.
 type Exchange struct {
 	Number  int
 	Address string
-	Zone    int
+	Zone    int // index in the platform's zones
 	State   brookmux.SwitchState
-	Planned float64 // set-ups a second that it is planned to bear, 0 where that is not said
+	Planned float64 // planned load in set-ups per second; 0 if not configured
 }
 
-// text is a leaf's value; defaults have to be set in the tree.
-func text(n *schema.Node, leaf string) string {
+// leafText returns the value of a leaf, or "" if it is not set. It does not apply defaults: the tree must contain them.
+func leafText(n *schema.Node, leaf string) string {
 	v, _ := n.Leaf(leaf)
 	return v
 }
 
-// number is a leaf's value as a number; the model has made sure that it is one.
-func number(n *schema.Node, leaf string) (float64, bool) {
+// leafNumber returns the value of a leaf as a number, and whether it is set. The model ensures that it is a number.
+func leafNumber(n *schema.Node, leaf string) (float64, bool) {
 	v, ok := n.Leaf(leaf)
 	f, err := strconv.ParseFloat(v, 64)
 	return f, ok && err == nil
 }
 
-// Exchanges reads those of a tree that has its defaults. Zones are named as in the platform's settings.
+// Exchanges returns the configured exchanges of a tree that contains its defaults. zones are the names of the platform's
+// zones; an exchange in any other zone is an error.
 func Exchanges(tree *schema.Node, zones []string) ([]Exchange, error) {
 	list := tree.Get("exchanges")
 	if list == nil {
@@ -69,13 +71,13 @@
 	}
 	var out []Exchange
 	for _, x := range list.Children() {
-		n, _ := number(x, "number")
-		e := Exchange{Number: int(n), Address: text(x, "address"), Zone: slices.Index(zones, text(x, "zone")), State: brookmux.Ready}
+		n, _ := leafNumber(x, "number")
+		e := Exchange{Number: int(n), Address: leafText(x, "address"), Zone: slices.Index(zones, leafText(x, "zone")), State: brookmux.Ready}
 		if e.Zone < 0 {
-			return nil, fmt.Errorf("%s: zone %q is none of the platform's: %v", x.Path(), text(x, "zone"), zones)
+			return nil, fmt.Errorf("%s: zone %q is none of the platform's: %v", x.Path(), leafText(x, "zone"), zones)
 		}
-		e.Planned, _ = number(x, "planned-load")
-		if text(x, "admin-state") != "in-service" {
+		e.Planned, _ = leafNumber(x, "planned-load")
+		if leafText(x, "admin-state") != "in-service" {
 			e.State = brookmux.Draining
 		}
 		out = append(out, e)
@@ -83,24 +85,24 @@
 	return out, nil
 }
 
-// Group is the size of a group from the own exchange to another.
+// Group is a trunk group from the local exchange to another.
 type Group struct {
-	Number int // the other end
-	Size   float64
+	Number int     // of the exchange at the other end
+	Size   float64 // in circuits
 }
 
-// Groups reads the groups that end at the own exchange.
-func Groups(tree *schema.Node, here int) []Group {
+// Groups returns the configured trunk groups that end at the local exchange.
+func Groups(tree *schema.Node, local int) []Group {
 	list := tree.Get("circuit-groups")
 	if list == nil {
 		return nil
 	}
 	var out []Group
 	for _, g := range list.Children() {
-		a, _ := number(g, "a")
-		b, _ := number(g, "b")
-		size, _ := number(g, "size")
-		switch here {
+		a, _ := leafNumber(g, "a")
+		b, _ := leafNumber(g, "b")
+		size, _ := leafNumber(g, "size")
+		switch local {
 		case int(a):
 			out = append(out, Group{int(b), size})
 		case int(b):
@@ -110,128 +112,132 @@
 	return out
 }
 
-// Settings puts what operators set over the platform's settings.
+// Settings returns the platform's settings with the configured values in their place. It does not modify the classes of
+// s. A class that the platform does not have, or a width other than the platform's, is an error.
 func Settings(s settings.Settings, tree *schema.Node) (settings.Settings, error) {
 	s.Module.Classes = slices.Clone(s.Module.Classes)
 	if list := tree.Get("classes"); list != nil {
 		for _, x := range list.Children() {
-			i := slices.Index(s.ClassNames, text(x, "name"))
+			i := slices.Index(s.ClassNames, leafText(x, "name"))
 			if i < 0 {
 				return s, fmt.Errorf("%s: the platform has no class of this name: %v", x.Path(), s.ClassNames)
 			}
 			c := &s.Module.Classes[i]
-			aim, _ := number(x, "aim")
-			deadline, _ := number(x, "deadline")
-			worth, _ := number(x, "worth")
-			late, _ := number(x, "late-worth")
-			c.Aim, c.Deadline, c.Worth, c.LateWorth = settings.MS(aim), settings.MS(deadline), worth, late/worth
-			if width, ok := number(x, "width"); ok && i < len(s.Widths) && s.Widths[i] > 0 && s.Widths[i] != width {
+			aim, _ := leafNumber(x, "aim")
+			deadline, _ := leafNumber(x, "deadline")
+			worth, _ := leafNumber(x, "worth")
+			lateWorth, _ := leafNumber(x, "late-worth")
+			c.Aim, c.Deadline, c.Worth, c.LateWorth = settings.MS(aim), settings.MS(deadline), worth, lateWorth/worth
+			if width, ok := leafNumber(x, "width"); ok && i < len(s.Widths) && s.Widths[i] > 0 && s.Widths[i] != width {
 				return s, fmt.Errorf("%s: the platform's calls of this class take %v circuits", x.Path(), s.Widths[i])
 			}
 		}
 	}
 	if l := tree.Get("limits"); l != nil {
-		if v, ok := number(l, "max-open-calls"); ok {
+		if v, ok := leafNumber(l, "max-open-calls"); ok {
 			s.MostHeld = int(v)
 		}
-		if v, ok := number(l, "max-wait"); ok && s.Module.RetryAfter {
+		if v, ok := leafNumber(l, "max-wait"); ok && s.Module.RetryAfter {
 			s.Module.MaxRetryAfter = settings.MS(v)
 		}
 	}
 	return s, nil
 }
 
-// Callers is the bound on callers' connections, or most where there is none that is lower.
-func Callers(tree *schema.Node, most int) int {
+// Callers returns the maximum number of callers' connections: the configured limit, but no more than maxCallers.
+func Callers(tree *schema.Node, maxCallers int) int {
 	if l := tree.Get("limits"); l != nil {
-		if v, ok := number(l, "max-callers"); ok {
-			return min(most, int(v))
+		if v, ok := leafNumber(l, "max-callers"); ok {
+			return min(maxCallers, int(v))
 		}
 	}
-	return most
+	return maxCallers
 }
 
-// Core is an exchange's core that only operators have set.
+// Core is the core of an exchange that only operators have configured.
 type Core struct {
 	brookmux.Switch
 	Address string
 }
 
-// Word is whose word is in force of an exchange, for its state.
+// Word is the origin of an exchange's state in force, with its state in the membership list.
 type Word struct {
 	Origin Origin
-	Told   string // what the list says: ready, draining, gone, or empty where it says nothing
+	Told   string // state in the membership list: ready, draining or gone; empty if the list gives none
 }
 
-// known is a core that was placed. One under another address is another core.
-type known struct {
+// placedCore is a core known from the configuration. The same exchange at another address is another core.
+type placedCore struct {
 	Core
-	until time.Duration // it lingers until then; 0 while it is set
+	drainUntil time.Duration // when a removed core is dropped; 0 while it is configured
 }
 
-// Placer holds the cores that operators have set, beside those that the platform lists.
+// Placer combines the cores that operators have configured with those in the membership list. The zero value is ready to
+// use. It is not safe for concurrent use.
 type Placer struct {
-	wanted map[int]Exchange
-	cores  []known
-	listed map[int]bool // numbers that the list has had; false for those that it has no more
+	configured map[int]Exchange
+	cores      []placedCore
+	listed     map[int]bool // by exchange number: true if listed now, false if listed earlier
 }
 
-// Want takes the exchanges that are set. At the program's start they count as there since long ago, and later as
-// started now: none is known to be warm.
-func (p *Placer) Want(now time.Duration, list []Exchange, start bool) {
-	p.wanted = map[int]Exchange{}
+// Want replaces the configured exchanges. At the start of the program their cores count as started long ago; later, a
+// new core counts as started now, as it is not known to be warm. Cores no longer configured drain.
+func (p *Placer) Want(now time.Duration, list []Exchange, atStart bool) {
+	p.configured = map[int]Exchange{}
 	for _, x := range list {
-		p.wanted[x.Number] = x
+		p.configured[x.Number] = x
 	}
 	for i := range p.cores {
 		k := &p.cores[i]
-		if x, ok := p.wanted[k.Number]; ok && x.Address == k.Address {
-			k.until = 0
+		if x, ok := p.configured[k.Number]; ok && x.Address == k.Address {
+			k.drainUntil = 0
 			k.Zone = x.Zone
-		} else if k.until == 0 {
-			k.until = now + Linger
+		} else if k.drainUntil == 0 {
+			k.drainUntil = now + DrainAfterRemoval
 		}
 	}
 	for _, x := range list {
-		if !slices.ContainsFunc(p.cores, func(k known) bool { return k.Number == x.Number && k.Address == x.Address }) {
+		if !slices.ContainsFunc(p.cores, func(k placedCore) bool { return k.Number == x.Number && k.Address == x.Address }) {
 			c := Core{Switch: brookmux.Switch{ID: p.id(x), Number: x.Number, Zone: x.Zone}, Address: x.Address}
-			if !start {
+			if !atStart {
 				c.Since = now
 			}
-			p.cores = append(p.cores, known{Core: c})
+			p.cores = append(p.cores, placedCore{Core: c})
 		}
 	}
 }
 
-// id makes a core's id of what it is known by, the same at each start.
+// id derives a core's id from the exchange number and address, so that it is the same after each start. It is unique
+// among the placed cores, and not 0.
 func (p *Placer) id(x Exchange) brookmux.SwitchID {
 	h := fnv.New32a()
 	_, _ = fmt.Fprintf(h, "%d %s", x.Number, x.Address) // never fails, see hash.Hash
 	id := brookmux.SwitchID(h.Sum32())
-	for id == 0 || slices.ContainsFunc(p.cores, func(k known) bool { return k.ID == id }) {
+	for id == 0 || slices.ContainsFunc(p.cores, func(k placedCore) bool { return k.ID == id }) {
 		id++
 	}
 	return id
 }
 
-// Place joins what is listed and what is set: the listed cores as they count, those that only operators have set,
-// whose word is in force, and when to ask again (0: at the next change).
-func (p *Placer) Place(now time.Duration, listed []brookmux.Switch) (all []brookmux.Switch, own []Core, words map[int]Word, again time.Duration) {
-	p.cores = slices.DeleteFunc(p.cores, func(k known) bool { return k.until > 0 && k.until <= now })
-	words = map[int]Word{}
-	ids := map[brookmux.SwitchID]bool{}
+// Place combines the listed and the configured cores. It returns the listed cores with the states in force, the cores
+// that only operators have configured, the origin of each exchange's state by exchange number, and the time at which to
+// call Place again (0: at the next change).
+func (p *Placer) Place(now time.Duration, listed []brookmux.Switch) (all []brookmux.Switch, unlisted []Core, origins map[int]Word, next time.Duration) {
+	p.cores = slices.DeleteFunc(p.cores, func(k placedCore) bool { return k.drainUntil > 0 && k.drainUntil <= now })
+	origins = map[int]Word{}
+	listedIDs := map[brookmux.SwitchID]bool{}
 	for _, s := range listed {
-		w := Word{Learned, map[brookmux.SwitchState]string{brookmux.Ready: "ready", brookmux.Draining: "draining"}[s.State]}
-		if x, ok := p.wanted[s.Number]; ok && x.State == brookmux.Draining && s.State == brookmux.Ready {
-			s.State, w.Origin = brookmux.Draining, Intended
+		origin := Word{Learned, map[brookmux.SwitchState]string{brookmux.Ready: "ready", brookmux.Draining: "draining"}[s.State]}
+		if x, ok := p.configured[s.Number]; ok && x.State == brookmux.Draining && s.State == brookmux.Ready {
+			s.State, origin.Origin = brookmux.Draining, Intended
 		}
-		if old, ok := words[s.Number]; !ok || old.Told != "ready" {
-			words[s.Number] = w
+		if old, ok := origins[s.Number]; !ok || old.Told != "ready" {
+			origins[s.Number] = origin
 		}
-		ids[s.ID] = true
+		listedIDs[s.ID] = true
 		all = append(all, s)
 	}
-	// What the list had and has no more is gone by its word: what operators set does not take its place.
+	// An exchange that has left the list is gone: its configuration does not replace the list.
 	if p.listed == nil {
 		p.listed = map[int]bool{}
 	}
@@ -241,28 +247,28 @@
 	for _, s := range listed {
 		p.listed[s.Number] = true
 	}
-	for n, there := range p.listed {
-		if _, wanted := p.wanted[n]; wanted && !there {
-			words[n] = Word{Learned, "gone"}
+	for n, listedNow := range p.listed {
+		if _, configured := p.configured[n]; configured && !listedNow {
+			origins[n] = Word{Learned, "gone"}
 		}
 	}
 	for _, k := range p.cores {
-		_, isListed := words[k.Number]
-		if isListed && words[k.Number].Told != "" || ids[k.ID] {
-			continue // the list knows better
+		_, isListed := origins[k.Number]
+		if isListed && origins[k.Number].Told != "" || listedIDs[k.ID] {
+			continue // the list takes precedence
 		}
 		c := k.Core
-		if c.State = brookmux.Draining; k.until == 0 {
-			c.State = p.wanted[k.Number].State
-		} else if again == 0 || k.until < again {
-			again = k.until
+		if c.State = brookmux.Draining; k.drainUntil == 0 {
+			c.State = p.configured[k.Number].State
+		} else if next == 0 || k.drainUntil < next {
+			next = k.drainUntil
 		}
-		own = append(own, c)
+		unlisted = append(unlisted, c)
 	}
-	for _, c := range own {
-		if _, ok := p.wanted[c.Number]; ok { // not one that only lingers
-			words[c.Number] = Word{Origin: Intended}
+	for _, c := range unlisted {
+		if _, ok := p.configured[c.Number]; ok { // not a removed one that is draining
+			origins[c.Number] = Word{Origin: Intended}
 		}
 	}
-	return all, own, words, again
+	return all, unlisted, origins, next
 }
