--- a/internal/schema/def.go
+++ b/internal/schema/def.go
@@ -1,6 +1,6 @@
-// Package schema enforces YANG models on configuration trees: types, ranges, patterns, keys, leafrefs, must,
-// unique, mandatory and the numbers of elements (RFC 7950). All of it is read from the models; there are no
-// hand-written twins. It owns the meaning of a tree, and knows nothing of sessions, transactions or wires.
+// Package schema loads YANG models and validates configuration trees against them: types, ranges, patterns, keys,
+// leafrefs, must, when, unique, mandatory, min-elements and max-elements (RFC 7950). All constraints are read from the
+// models; none is duplicated in code. The package does not depend on sessions, transactions or transports.
 package schema
 
 import (
@@ -20,10 +20,10 @@
 	"lukechampine.com/blake3"
 )
 
-// Kind is what a node of a model is.
+// Kind is the kind of a data node.
 type Kind int
 
-// The kinds (RFC 7950, 4.2.2).
+// The kinds of data nodes (RFC 7950, 4.2.2).
 const (
 	Container Kind = iota
 	List
@@ -31,51 +31,53 @@
 	LeafList
 )
 
-// Def is a node of a model, the same for all its instances.
+// Def is a data node of a model. All instances of the node share it, and it does not change after Load.
 type Def struct {
 	Name, Module, Namespace string
 	Kind                    Kind
 	Parent                  *Def // nil for the root
 	Children                []*Def
-	Keys                    []string // of a list, in the model's order
+	Keys                    []string // names of the key leaves of a list, in the model's order
 	Config                  bool
-	Presence                bool // a container that means something by being there
+	Presence                bool // a presence container (RFC 7950, 7.5.1)
 	Mandatory               bool
 	Default                 []string
 	Type                    *yang.YangType // of a leaf or leaf-list
-	Min, Max                uint64         // elements; Max 0 for any number
+	Min, Max                uint64         // min-elements and max-elements; Max 0 is unbounded
 	Description, Units      string
 
-	Ordered        bool   // entries of a list stand in the order in which they came (RFC 7950, 7.7.7)
-	choice, branch string // of which choice this is one case, if of any
+	UserOrdered          bool   // a list with "ordered-by user": entries stay in insertion order (RFC 7950, 7.7.7)
+	choiceName, caseName string // the choice and the case the node belongs to, or empty
 
-	byName   map[string]*Def
-	order    int
-	musts    []must
-	when     *must
-	uniques  [][][]string // each a set of paths from the list entry down
-	target   *Def         // of a leafref
-	patterns map[*yang.YangType][]pattern
+	byName        map[string]*Def
+	position      int
+	musts         []condition
+	when          *condition
+	uniques       [][][]string // for each unique statement, leaf paths relative to the list entry
+	leafrefTarget *Def         // the leaf that a leafref refers to
+	patterns      map[*yang.YangType][]pattern
 }
 
-// must is a condition that an instance has to meet (RFC 7950, 7.5.3).
-type must struct {
+// condition is the compiled XPath expression of a must or when statement (RFC 7950, 7.5.3 and 7.21.5). message and
+// appTag belong to a must.
+type condition struct {
 	text, message, appTag string
 	expr                  *xpath.Expr
 }
 
-// Module is a module of the set.
+// Module describes a loaded YANG module; Text is its source.
 type Module struct{ Name, Namespace, Prefix, Revision, Text string }
 
-// Model is a set of modules as one tree of definitions.
+// Model is a set of modules compiled into one tree of definitions.
 type Model struct {
 	Root    *Def
-	Modules []Module // by name
-	ID      string   // another one when any module is another
+	Modules []Module // sorted by name
+	ID      string   // hash over the names and texts of all modules
 }
 
-// Load reads all modules in a file system. What this package can't enforce (anydata, leaf-lists ordered by users,
-// leafrefs with predicates) is refused by name, not passed over.
+// Load reads all *.yang modules in the root of a file system. A model with statements that this package can't enforce
+// (such as anydata, leaf-lists with "ordered-by user" or leafrefs with predicates) is rejected with an error that names
+// the node.
 func Load(files fs.FS) (*Model, error) {
 	set := yang.NewModules()
 	names, err := fs.Glob(files, "*.yang")
@@ -100,60 +102,62 @@
 	for _, name := range slices.Sorted(maps.Keys(texts)) {
 		x, ok := set.Modules[name]
 		if !ok {
-			return nil, fmt.Errorf("schema: file %s.yang holds no module of that name", name)
+			return nil, fmt.Errorf("schema: file %s.yang does not define a module of that name", name)
 		}
 		m.Modules = append(m.Modules, Module{Name: name, Namespace: x.Namespace.Name, Prefix: x.Prefix.Name,
 			Revision: x.Current(), Text: texts[name]})
-		if err := m.Root.adopt(yang.ToEntry(x), name, x.Namespace.Name); err != nil {
+		if err := m.Root.addEntries(yang.ToEntry(x), name, x.Namespace.Name); err != nil {
 			return nil, err
 		}
 	}
-	all := blake3.New(16, nil)
+	hash := blake3.New(16, nil)
 	for _, x := range m.Modules {
-		_, _ = all.Write([]byte(x.Name + "\x00" + x.Text + "\x00")) // never fails, see hash.Hash
+		_, _ = hash.Write([]byte(x.Name + "\x00" + x.Text + "\x00")) // never fails, see hash.Hash
 	}
-	m.ID = hex.EncodeToString(all.Sum(nil))
-	return m, m.Root.finish()
+	m.ID = hex.EncodeToString(hash.Sum(nil))
+	return m, m.Root.resolve()
 }
 
-// adopt adds the nodes of an entry to a definition. Choices and their cases are no nodes of the data.
-func (d *Def) adopt(e *yang.Entry, module, namespace string) error {
-	return d.adoptCase(e, module, namespace, "", "")
+// addEntries adds the data nodes below e to d, recursively. Choices and cases are not data nodes; their children become
+// children of d.
+func (d *Def) addEntries(e *yang.Entry, module, namespace string) error {
+	return d.addCaseEntries(e, module, namespace, "", "")
 }
 
-func (d *Def) adoptCase(e *yang.Entry, module, namespace, choice, branch string) error {
+// addCaseEntries is addEntries for the nodes of a case; choiceName and caseName are empty outside choices.
+func (d *Def) addCaseEntries(e *yang.Entry, module, namespace, choiceName, caseName string) error {
 	for _, name := range slices.Sorted(maps.Keys(e.Dir)) {
 		x := e.Dir[name]
 		if x.RPC != nil || x.Kind == yang.NotificationEntry {
 			continue
 		}
 		if x.IsChoice() {
-			if choice != "" || x.Mandatory == yang.TSTrue || len(x.DefaultValues()) > 0 {
-				return fmt.Errorf("schema: %s/%s: choices in choices, mandatory ones and defaults of them are not supported", d, name)
+			if choiceName != "" || x.Mandatory == yang.TSTrue || len(x.DefaultValues()) > 0 {
+				return fmt.Errorf("schema: %s/%s: nested choices, mandatory choices and choices with defaults are not supported", d, name)
 			}
 			for _, c := range slices.Sorted(maps.Keys(x.Dir)) {
-				if err := d.adoptCase(x.Dir[c], module, namespace, name, c); err != nil {
+				if err := d.addCaseEntries(x.Dir[c], module, namespace, name, c); err != nil {
 					return err
 				}
 			}
 			continue
 		}
 		if d.byName[name] != nil {
-			return fmt.Errorf("schema: %s: two nodes of this name", d.byName[name])
+			return fmt.Errorf("schema: %s: two sibling nodes have this name", d.byName[name])
 		}
-		c := &Def{Name: name, Module: module, Namespace: namespace, Parent: d, choice: choice, branch: branch, Config: !x.ReadOnly(),
+		c := &Def{Name: name, Module: module, Namespace: namespace, Parent: d, choiceName: choiceName, caseName: caseName, Config: !x.ReadOnly(),
 			Description: x.Description, Units: x.Units, Type: x.Type, Mandatory: x.Mandatory == yang.TSTrue,
 			Default: x.DefaultValues(), byName: map[string]*Def{}}
 		switch {
 		case x.IsList():
-			c.Ordered = x.ListAttr.OrderedByUser
+			c.UserOrdered = x.ListAttr.OrderedByUser
 			c.Kind, c.Keys = List, strings.Fields(x.Key)
 			if c.Config && len(c.Keys) == 0 {
-				return fmt.Errorf("schema: %s: a list of the configuration needs a key", c)
+				return fmt.Errorf("schema: %s: a configuration list needs a key", c)
 			}
 		case x.IsLeafList():
 			if c.Kind = LeafList; x.ListAttr.OrderedByUser {
-				return fmt.Errorf("schema: %s: an order by users is not supported", c)
+				return fmt.Errorf("schema: %s: ordered-by user is not supported on a leaf-list", c)
 			}
 		case x.IsLeaf():
 			c.Kind = Leaf
@@ -165,32 +169,33 @@
 				c.Max = x.ListAttr.MaxElements
 			}
 		}
-		if err := c.read(x); err != nil {
+		if err := c.readConstraints(x); err != nil {
 			return err
 		}
 		d.Children = append(d.Children, c)
 		d.byName[name] = c
-		if err := c.adopt(x, module, namespace); err != nil {
+		if err := c.addEntries(x, module, namespace); err != nil {
 			return err
 		}
 	}
 	// Keys come first, in the model's order (RFC 7950, 7.8.5).
-	slices.SortStableFunc(d.Children, func(a, b *Def) int { return cmp.Compare(d.rank(a.Name), d.rank(b.Name)) })
+	slices.SortStableFunc(d.Children, func(a, b *Def) int { return cmp.Compare(d.keyRank(a.Name), d.keyRank(b.Name)) })
 	for i, c := range d.Children {
-		c.order = i
+		c.position = i
 	}
 	return nil
 }
 
-func (d *Def) rank(name string) int {
+// keyRank returns the index of a child among the keys of a list; all other children rank behind the keys.
+func (d *Def) keyRank(name string) int {
 	if i := slices.Index(d.Keys, name); i >= 0 {
 		return i
 	}
 	return len(d.Keys)
 }
 
-// read takes the conditions of a node from its statement.
-func (d *Def) read(x *yang.Entry) error {
+// readConstraints reads presence, must, when, unique and the type of a node from its YANG statement.
+func (d *Def) readConstraints(x *yang.Entry) error {
 	var musts []*yang.Must
 	var when *yang.Value
 	var unique []*yang.Value
@@ -205,7 +210,7 @@
 		musts, when = n.Must, n.When
 	}
 	for _, m := range musts {
-		c, err := d.condition(m.Name)
+		c, err := d.compileCondition(m.Name)
 		if err != nil {
 			return err
 		}
@@ -218,7 +223,7 @@
 		d.musts = append(d.musts, *c)
 	}
 	if when != nil {
-		c, err := d.condition(when.Name)
+		c, err := d.compileCondition(when.Name)
 		if err != nil {
 			return err
 		}
@@ -227,33 +232,33 @@
 	for _, u := range unique {
 		var set [][]string
 		for _, p := range strings.Fields(u.Name) {
-			set = append(set, strings.Split(bare(p), "/"))
+			set = append(set, strings.Split(stripPrefixes(p), "/"))
 		}
 		d.uniques = append(d.uniques, set)
 	}
 	if d.Type != nil {
 		d.patterns = map[*yang.YangType][]pattern{}
-		if err := d.supported(d.Type); err != nil {
+		if err := d.compileType(d.Type); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// condition compiles an expression.
-func (d *Def) condition(text string) (*must, error) {
-	expr, err := xpath.Compile(bare(text))
+// compileCondition compiles the XPath expression of a must or when statement.
+func (d *Def) compileCondition(text string) (*condition, error) {
+	expr, err := xpath.Compile(stripPrefixes(text))
 	if err != nil {
 		return nil, fmt.Errorf("schema: %s: %q: %w", d, text, err)
 	}
-	return &must{text: text, expr: expr}, nil
+	return &condition{text: text, expr: expr}, nil
 }
 
-// finish ties what points elsewhere in the tree.
-func (d *Def) finish() error {
+// resolve checks the keys and unique statements of d and its descendants, and resolves their leafrefs.
+func (d *Def) resolve() error {
 	for _, k := range d.Keys {
 		if c := d.byName[k]; c == nil || c.Kind != Leaf {
-			return fmt.Errorf("schema: %s: key %s is no leaf", d, k)
+			return fmt.Errorf("schema: %s: key %s is not a leaf", d, k)
 		}
 	}
 	for _, set := range d.uniques {
@@ -261,27 +266,27 @@
 			at := d
 			for _, name := range p {
 				if at = at.byName[name]; at == nil || at.Kind == List || at.Kind == LeafList {
-					return fmt.Errorf("schema: %s: unique names no leaf: %s", d, strings.Join(p, "/"))
+					return fmt.Errorf("schema: %s: unique path is not a leaf of the entry: %s", d, strings.Join(p, "/"))
 				}
 			}
 		}
 	}
 	if d.Type != nil && d.Type.Kind == yang.Yleafref {
-		if err := d.refer(); err != nil {
+		if err := d.resolveLeafref(); err != nil {
 			return err
 		}
 	}
 	for _, c := range d.Children {
-		if err := c.finish(); err != nil {
+		if err := c.resolve(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// refer finds the target of a leafref.
-func (d *Def) refer() error {
-	text := bare(d.Type.Path)
+// resolveLeafref finds the target of a leafref.
+func (d *Def) resolveLeafref() error {
+	text := stripPrefixes(d.Type.Path)
 	at := d
 	if rest, ok := strings.CutPrefix(text, "/"); ok {
 		for at.Parent != nil {
@@ -299,32 +304,33 @@
 			at = at.byName[name]
 		}
 		if at == nil {
-			return fmt.Errorf("schema: %s: leafref to no node: %s", d, d.Type.Path)
+			return fmt.Errorf("schema: %s: leafref target does not exist: %s", d, d.Type.Path)
 		}
 	}
 	if at.Kind != Leaf || at.Type.Kind == yang.Yleafref {
-		return fmt.Errorf("schema: %s: leafref to what is no plain leaf: %s", d, d.Type.Path)
+		return fmt.Errorf("schema: %s: leafref target is not a leaf, or is a leafref itself: %s", d, d.Type.Path)
 	}
-	// All instances of the target are looked at: with a list above both, that would be too many.
+	// Validate accepts the value of any instance of the target. With a list above both nodes it would also accept
+	// values from other entries of that list.
 	for x := d.Parent; x != nil; x = x.Parent {
 		if x.Kind == List && strings.HasPrefix(at.String(), x.String()+"/") {
-			return fmt.Errorf("schema: %s: leafref within a list entry: not supported", d)
+			return fmt.Errorf("schema: %s: leafref to a target in the same list is not supported", d)
 		}
 	}
-	d.target = at
+	d.leafrefTarget = at
 	return nil
 }
 
-// Child returns the child of a name, or nil.
+// Child returns the child with a name, or nil.
 func (d *Def) Child(name string) *Def { return d.byName[name] }
 
-// Leafy tells whether instances have a value.
+// Leafy reports whether instances have a value: leaves and leaf-lists do.
 func (d *Def) Leafy() bool { return d.Kind == Leaf || d.Kind == LeafList }
 
-// IsKey tells whether a leaf is a key of its list.
+// IsKey reports whether a node is a key of its list. It must not be called on the root.
 func (d *Def) IsKey() bool { return d.Parent.Kind == List && slices.Contains(d.Parent.Keys, d.Name) }
 
-// String returns the path from the root, without keys.
+// String returns the schema path from the root, without prefixes and keys. The root's is empty.
 func (d *Def) String() string {
 	if d.Parent == nil {
 		return ""
@@ -332,12 +338,12 @@
 	return d.Parent.String() + "/" + d.Name
 }
 
-// bare takes the prefixes off an expression's names: no two nodes of a name stand beside each other, see adopt.
-// What stands in quotes is left alone, and so are axes.
-func bare(text string) string {
+// stripPrefixes removes the module prefixes from the names in an XPath expression. Names stay unambiguous, since
+// addEntries rejects siblings of the same name. Quoted strings and axes (name::) are not changed.
+func stripPrefixes(text string) string {
 	var b strings.Builder
 	var quote rune
-	word := 0 // where the present name began in b
+	nameStart := 0 // offset in b at which the current name starts
 	runes := []rune(text)
 	for i := 0; i < len(runes); i++ {
 		r := runes[i]
@@ -350,22 +356,22 @@
 			quote = r
 		case r == ':' && i+1 < len(runes) && runes[i+1] == ':':
 			b.WriteString("::")
-			word = b.Len()
+			nameStart = b.Len()
 			i++
 			continue
 		case r == ':':
-			s := b.String()[:word]
+			s := b.String()[:nameStart]
 			b.Reset()
 			b.WriteString(s)
 			continue
 		}
 		b.WriteRune(r)
 		if quote != 0 || !(r == '-' || r == '_' || r == '.' || r >= '0' && r <= '9' || r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z') {
-			word = b.Len()
+			nameStart = b.Len()
 		}
 	}
 	return b.String()
 }
 
-// elements writes a number of elements.
-func elements(n uint64) string { return strconv.FormatUint(n, 10) + " elements" }
+// elementCount formats a number of elements for messages.
+func elementCount(n uint64) string { return strconv.FormatUint(n, 10) + " elements" }
--- a/internal/schema/flat.go
+++ b/internal/schema/flat.go
@@ -5,18 +5,18 @@
 	"fmt"
 )
 
-// Item is a leaf, an element of a leaf-list, or a container that means something by being there, as a path with its
-// value. Keys of entries are items too.
+// Item is a leaf, an element of a leaf-list or a presence container, as a path and a value. The value of a presence
+// container is empty. Key leaves of list entries are items too.
 type Item struct {
 	Path  string `json:"p"`
 	Value string `json:"v,omitempty"`
 }
 
-// Items lists what is in a tree, in order. Put of each in an empty tree gives the same tree.
+// Items lists the items of a tree in document order. Putting all of them into an empty tree yields an equal tree.
 func (n *Node) Items() []Item {
 	var out []Item
 	n.Walk(func(x *Node) bool {
-		if x.item() {
+		if x.isItem() {
 			out = append(out, Item{x.Path(), x.Value})
 		}
 		return true
@@ -24,10 +24,11 @@
 	return out
 }
 
-// item tells whether a node is an Item: the rest is there because of what is in it.
-func (n *Node) item() bool { return n.Def.Leafy() || n.Def.Presence }
+// isItem reports whether a node is listed as an Item. All other nodes exist only for their descendants.
+func (n *Node) isItem() bool { return n.Def.Leafy() || n.Def.Presence }
 
-// Put sets what is at a path, with all that has to be above it.
+// Put sets the item in the tree that n belongs to, and creates the missing nodes above it. The value may have any valid
+// lexical form. Keys can't be changed.
 func (n *Node) Put(i Item) error {
 	steps, err := ParsePath(i.Path)
 	if err != nil {
@@ -42,7 +43,7 @@
 		if d == nil {
 			return fmt.Errorf("%s: no node %s in the model", i.Path, s.Name)
 		}
-		keys, err := s.values(d)
+		keys, err := s.canonicalKeys(d)
 		if err != nil {
 			return fmt.Errorf("%s: %w", i.Path, err)
 		}
@@ -65,8 +66,8 @@
 		if err != nil && !errors.Is(err, ErrExists) {
 			return fmt.Errorf("%s: %w", i.Path, err)
 		}
-		for n, k := range d.Keys { // they may have gone item by item
-			if c.kids[k] == nil {
+		for n, k := range d.Keys { // an earlier Take may have removed the key leaves of the entry
+			if c.children[k] == nil {
 				if _, err := c.Add(d.byName[k], keys[n]); err != nil {
 					return fmt.Errorf("%s: %w", i.Path, err)
 				}
@@ -77,8 +78,7 @@
 	return nil
 }
 
-// Take removes what is at a path, and containers above it that mean nothing by themselves and are empty then. What
-// is not there is no error.
+// Take removes the node at a path as Drop does. A missing node is not an error.
 func (n *Node) Take(path string) error {
 	at, err := n.Find(path)
 	if errors.Is(err, ErrMissing) {
@@ -91,88 +91,90 @@
 	return nil
 }
 
-// Drop removes a node from its tree, see Take.
+// Drop removes a node with its descendants from its tree, and the non-presence containers and keyed list entries above
+// it that are empty then. On the root it removes all children.
 func (n *Node) Drop() {
-	up := n.Parent
-	if up == nil {
-		n.kids, n.sorted = nil, nil
+	parent := n.Parent
+	if parent == nil {
+		n.children, n.sorted = nil, nil
 		return
 	}
-	up.Remove(n)
-	if up.Len() == 0 && (up.Def.Kind == Container && !up.Def.Presence || up.Def.Kind == List && len(up.Def.Keys) > 0) {
-		up.Drop()
+	parent.Remove(n)
+	if parent.Len() == 0 && (parent.Def.Kind == Container && !parent.Def.Presence || parent.Def.Kind == List && len(parent.Def.Keys) > 0) {
+		parent.Drop()
 	}
 }
 
-// Change is a difference between two trees at a path: Old or New is nil where it is not there.
+// Change is a difference between two trees at the path of an item. Old is nil for an item that was added, New for one
+// that was removed.
 type Change struct {
 	Path string  `json:"p"`
 	Old  *string `json:"o,omitempty"`
 	New  *string `json:"n,omitempty"`
 }
 
-// Diff lists the items in which a tree differs from an older one: what goes in reverse order, then what comes or
-// changes in order.
+// Diff lists the items in which new differs from old: first the removed items in reverse document order, then the added
+// and changed ones in document order.
 func Diff(old, new *Node) []Change {
-	var gone, come []Change
+	var removed, added []Change
 	var walk func(a, b *Node)
-	whole := func(n *Node, f func(Item)) {
+	eachItem := func(n *Node, f func(Item)) {
 		for _, i := range n.Items() {
 			f(i)
 		}
 	}
 	walk = func(a, b *Node) {
-		if a.item() && a.Value != b.Value {
+		if a.isItem() && a.Value != b.Value {
 			o, v := a.Value, b.Value
-			come = append(come, Change{b.Path(), &o, &v})
+			added = append(added, Change{b.Path(), &o, &v})
 		}
 		moved := moved(a, b)
 		for _, c := range a.Children() {
-			if b.kids[c.id] == nil || moved[c.id] {
-				whole(c, func(i Item) { gone = append(gone, Change{Path: i.Path, Old: &i.Value}) })
+			if b.children[c.id] == nil || moved[c.id] {
+				eachItem(c, func(i Item) { removed = append(removed, Change{Path: i.Path, Old: &i.Value}) })
 			}
 		}
 		for _, c := range b.Children() {
-			if o := a.kids[c.id]; o != nil && !moved[c.id] {
+			if o := a.children[c.id]; o != nil && !moved[c.id] {
 				walk(o, c)
 			} else {
-				whole(c, func(i Item) { come = append(come, Change{Path: i.Path, New: &i.Value}) })
+				eachItem(c, func(i Item) { added = append(added, Change{Path: i.Path, New: &i.Value}) })
 			}
 		}
 	}
 	walk(old, new)
-	for i, j := 0, len(gone)-1; i < j; i, j = i+1, j-1 {
-		gone[i], gone[j] = gone[j], gone[i]
+	for i, j := 0, len(removed)-1; i < j; i, j = i+1, j-1 {
+		removed[i], removed[j] = removed[j], removed[i]
 	}
-	return append(gone, come...)
+	return append(removed, added...)
 }
 
-// moved names the entries of lists ordered by users that stand elsewhere now: all after the first that does, which
-// go and come again, since what comes stands last.
+// moved returns the IDs of the entries of user-ordered lists that Diff removes and adds again, because their position
+// changed. Added entries are appended to the list, so these are all common entries from the first new or moved one on.
 func moved(a, b *Node) map[string]bool {
 	var out map[string]bool
 	for _, d := range b.Def.Children {
-		if !d.Ordered {
+		if !d.UserOrdered {
 			continue
 		}
-		order := func(n, other *Node) (ids []string) {
+		sharedIDs := func(n, other *Node) (ids []string) {
 			for _, c := range n.Children() {
-				if c.Def == d && other.kids[c.id] != nil {
+				if c.Def == d && other.children[c.id] != nil {
 					ids = append(ids, c.id)
 				}
 			}
 			return ids
 		}
-		was, is := order(a, b), order(b, a)
-		same := 0
-		for _, c := range b.Children() { // up to the first that is new or stands elsewhere
-			if c.Def == d && (same >= len(was) || was[same] != c.id) {
+		oldOrder, newOrder := sharedIDs(a, b), sharedIDs(b, a)
+		commonPrefix := 0
+		for _, c := range b.Children() { // up to the first entry that is new or moved
+			if c.Def == d && (commonPrefix >= len(oldOrder) || oldOrder[commonPrefix] != c.id) {
 				break
 			} else if c.Def == d {
-				same++
+				commonPrefix++
 			}
 		}
-		for _, id := range is[same:] {
+		for _, id := range newOrder[commonPrefix:] {
 			if out == nil {
 				out = map[string]bool{}
 			}
@@ -182,7 +184,8 @@
 	return out
 }
 
-// Patch applies the changes of a Diff to a tree, in their order.
+// Patch applies the changes of a Diff to a tree in the given order, and prunes it. After an error the tree is partly
+// changed.
 func (n *Node) Patch(changes []Change) error {
 	for _, c := range changes {
 		var err error
@@ -199,15 +202,15 @@
 	return nil
 }
 
-// Prune removes containers that mean nothing and hold nothing, and entries that lost their keys: what is left of
-// them went item by item.
+// Prune removes the empty non-presence containers below n, and the list entries without their first key: these remain
+// when the items of an entry are removed one by one.
 func (n *Node) Prune() {
 	for _, c := range n.Children() {
 		if c.Def.Leafy() {
 			continue
 		}
 		c.Prune()
-		if c.Def.Kind == Container && !c.Def.Presence && c.Len() == 0 || c.Def.Kind == List && len(c.Def.Keys) > 0 && c.kids[c.Def.Keys[0]] == nil {
+		if c.Def.Kind == Container && !c.Def.Presence && c.Len() == 0 || c.Def.Kind == List && len(c.Def.Keys) > 0 && c.children[c.Def.Keys[0]] == nil {
 			n.Remove(c)
 		}
 	}
--- a/internal/schema/schema_test.go
+++ b/internal/schema/schema_test.go
@@ -12,15 +12,15 @@
 	"brookmux/yang"
 )
 
-// load returns the program's own models.
-func load(t require.TestingT) *Model {
+// loadModel loads the program's models.
+func loadModel(t require.TestingT) *Model {
 	m, err := Load(yang.Files)
 	require.NoError(t, err)
 	return m
 }
 
-// build makes a tree of lines "path" or "path = value".
-func build(t require.TestingT, m *Model, lines string) *Node {
+// buildTree builds a tree from lines of the form "path" or "path = value".
+func buildTree(t require.TestingT, m *Model, lines string) *Node {
 	tree := m.NewTree()
 	for line := range strings.Lines(lines) {
 		if path, value, _ := strings.Cut(strings.TrimSpace(line), " = "); path != "" {
@@ -30,7 +30,7 @@
 	return tree
 }
 
-const seven = `
+const baseConfig = `
 	/exchanges/exchange[number='1']/address = 10.0.0.1:5060
 	/exchanges/exchange[number='1']/zone = east
 	/exchanges/exchange[number='9']/address = 10.0.0.9:5060
@@ -43,11 +43,12 @@
 	/classes/class[name='page']/worth = 1
 `
 
-// TestValidate: each kind of condition of the models is held, and each fault has its tag, its place and its words.
+// TestValidate checks that each kind of constraint in the models is enforced, that each fault has the right tag, path
+// and message, and that the number of faults is limited.
 func TestValidate(t *testing.T) {
-	m := load(t)
+	m := loadModel(t)
 	require.Empty(t, m.Validate(m.NewTree()))
-	require.Empty(t, m.Validate(build(t, m, seven)))
+	require.Empty(t, m.Validate(buildTree(t, m, baseConfig)))
 	for _, c := range []struct{ lines, path, tag, app, words string }{
 		{"/exchanges/exchange[number='2']/zone = east", "/exchanges/exchange[number='2']/address", "data-missing", "", "mandatory"},
 		{"/exchanges/exchange[number='1']/address = 10.0.0.9:5060", "/exchanges/exchange[number='9']", "operation-failed",
@@ -74,7 +75,7 @@
 			"/exchanges/exchange[number='10']/admin-state = out-of-service", "/exchanges", "operation-failed", "no-exchange",
 			"in service"},
 	} {
-		faults := m.Validate(build(t, m, seven+c.lines))
+		faults := m.Validate(buildTree(t, m, baseConfig+c.lines))
 		require.Len(t, faults, 1, c.lines)
 		require.Equal(t, []string{c.path, c.tag, c.app}, []string{faults[0].Path, string(faults[0].Tag), faults[0].AppTag}, c.lines)
 		require.Contains(t, faults[0].Message, c.words)
@@ -83,12 +84,12 @@
 	for i := range 300 {
 		require.NoError(t, many.Put(Item{fmt.Sprintf("/exchanges/exchange[number='%d']/zone", i), "x"}))
 	}
-	require.Len(t, m.Validate(many), mostFaults)
+	require.Len(t, m.Validate(many), maxFaults)
 }
 
-// TestValues: values are held to their types and come out in canonical form.
+// TestValues checks that values are validated against their types and stored in canonical form.
 func TestValues(t *testing.T) {
-	tree := load(t).NewTree()
+	tree := loadModel(t).NewTree()
 	put := func(path, value string) (string, error) {
 		if err := tree.Put(Item{path, value}); err != nil {
 			return "", err
@@ -119,16 +120,16 @@
 	}
 }
 
-// TestRefused: what can't be enforced is refused when the model is read, by its place.
+// TestRefused checks that Load rejects statements that can't be enforced, with the path of the node.
 func TestRefused(t *testing.T) {
 	for body, words := range map[string]string{
-		`choice c { mandatory true; leaf a { type string; } }`:                               "/c: choices in choices",
-		`leaf-list l { type string; ordered-by user; }`:                                      "/l: an order by users",
+		`choice c { mandatory true; leaf a { type string; } }`:                               "/c: nested choices, mandatory choices",
+		`leaf-list l { type string; ordered-by user; }`:                                      "/l: ordered-by user is not supported",
 		`leaf l { type string { pattern '\i+'; } }`:                                          "/l: pattern",
 		`leaf l { type string; must "a["; }`:                                                 `/l: "a["`,
 		`leaf l { type leafref { path "/none"; } }`:                                          "none",
-		`list l { key k; unique "x/y"; leaf k { type string; } }`:                            "/l: unique names no leaf",
-		`list l { key k; leaf k { type string; } leaf r { type leafref { path "../k"; } } }`: "/l/r: leafref within",
+		`list l { key k; unique "x/y"; leaf k { type string; } }`:                            "/l: unique path is not a leaf",
+		`list l { key k; leaf k { type string; } leaf r { type leafref { path "../k"; } } }`: "/l/r: leafref to a target in the same list",
 		`leaf l { type instance-identifier; }`:                                               "/l: type",
 	} {
 		text := "module m { yang-version 1.1; namespace 'urn:m'; prefix m; " + body + " }"
@@ -137,8 +138,8 @@
 	}
 }
 
-// items draws trees of the program's models.
-func items(m *Model) *rapid.Generator[*Node] {
+// treeGenerator generates trees of the program's models.
+func treeGenerator(m *Model) *rapid.Generator[*Node] {
 	return rapid.Custom(func(t *rapid.T) *Node {
 		tree := m.NewTree()
 		for range rapid.IntRange(0, 12).Draw(t, "n") {
@@ -152,11 +153,12 @@
 	})
 }
 
-// TestPatch: the difference of any two trees turns one into the other, and a tree is what its items are.
+// TestPatch checks that applying the Diff of any two trees to the first yields the second, and that a tree can be
+// rebuilt from its items.
 func TestPatch(t *testing.T) {
-	m := load(t)
+	m := loadModel(t)
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := items(m).Draw(t, "a"), items(m).Draw(t, "b")
+		a, b := treeGenerator(m).Draw(t, "a"), treeGenerator(m).Draw(t, "b")
 		c := a.Clone()
 		require.NoError(t, c.Patch(Diff(a, b)))
 		require.Equal(t, b.Items(), c.Items())
@@ -169,10 +171,11 @@
 	})
 }
 
-// TestSelect: XPath finds nodes in order, and one that names none, or is none, is an error.
+// TestSelect checks that Select returns nodes in document order, and an error for an expression that is invalid or does
+// not yield a node-set.
 func TestSelect(t *testing.T) {
-	m := load(t)
-	found, err := Select(build(t, m, seven), "/bmx-ex:exchanges/exchange[zone = 'east' or number = 10]/number")
+	m := loadModel(t)
+	found, err := Select(buildTree(t, m, baseConfig), "/bmx-ex:exchanges/exchange[zone = 'east' or number = 10]/number")
 	require.NoError(t, err)
 	var values []string
 	for _, n := range found {
@@ -185,12 +188,12 @@
 	}
 }
 
-// FuzzPath: no path makes Put panic, and one that is taken is found again.
+// FuzzPath checks that Put does not panic on any path, and that Find accepts each path that Put accepts.
 func FuzzPath(f *testing.F) {
 	for _, s := range []string{"/exchanges/exchange[number='1']/zone", "/storm/part[.='window']", "/a[b=", "/x:storm", "//"} {
 		f.Add(s, "v")
 	}
-	m := load(f)
+	m := loadModel(f)
 	f.Fuzz(func(t *testing.T, path, value string) {
 		tree := m.NewTree()
 		if tree.Put(Item{path, value}) == nil && tree.Len() > 0 {
--- a/internal/schema/tree.go
+++ b/internal/schema/tree.go
@@ -9,33 +9,34 @@
 	"strings"
 )
 
-// Node is an instance of a definition. A tree belongs to one goroutine while it changes.
+// Node is an instance of a definition. While a tree changes, only one goroutine may use it.
 type Node struct {
 	Def    *Def
 	Value  string // of a leaf or an element of a leaf-list
 	Parent *Node
 
-	id     string
-	kids   map[string]*Node
-	sorted []*Node // nil when a child came or went
-	turn   int     // of an entry in a list ordered by users: when it came
-	turns  int     // given to the children so far
-	place  int     // among the sorted children of the parent, as of the last sorting
+	id          string
+	children    map[string]*Node
+	sorted      []*Node // cache of Children; nil after a child was added or removed
+	seq         int     // insertion number among the siblings; orders the entries of user-ordered lists
+	lastSeq     int     // last insertion number given to a child
+	sortedIndex int     // index in the parent's sorted children when they were last sorted
 }
 
-// index is a node's place among its parent's children.
-func (n *Node) index(kids []*Node) int {
-	if n.place < len(kids) && kids[n.place] == n {
-		return n.place
+// index returns the index of a node among siblings, its parent's Children.
+func (n *Node) index(siblings []*Node) int {
+	if n.sortedIndex < len(siblings) && siblings[n.sortedIndex] == n {
+		return n.sortedIndex
 	}
-	return slices.Index(kids, n)
+	return slices.Index(siblings, n)
 }
 
-// NewTree returns an empty tree: its root.
+// NewTree returns the root of a new empty tree.
 func (m *Model) NewTree() *Node { return &Node{Def: m.Root} }
 
-// ident is what tells a child from its siblings: the name, and the keys or the value where there may be more.
-func ident(d *Def, keys []string) string {
+// childID returns the key of a child in Node.children: its name, followed by the keys of a list entry or the value of a
+// leaf-list element.
+func childID(d *Def, keys []string) string {
 	if d.Kind != List && d.Kind != LeafList {
 		return d.Name
 	}
@@ -45,12 +46,12 @@
 	}
 	b := append(make([]byte, 0, n), d.Name...)
 	for _, k := range keys {
-		b = append(append(b, 0), k...) // no value holds a zero, see canonical
+		b = append(append(b, 0), k...) // no value contains a zero byte, see canonicalBuiltin
 	}
 	return string(b)
 }
 
-// Keys returns a list entry's keys, or an element's value.
+// Keys returns the keys of a list entry or the value of a leaf-list element, and nil for other nodes.
 func (n *Node) Keys() []string {
 	if n.Def.Kind == LeafList {
 		return []string{n.Value}
@@ -61,50 +62,52 @@
 	return strings.Split(n.id, "\x00")[1:]
 }
 
-// Get returns a child, or nil; keys tell entries of lists and elements of leaf-lists, in canonical form.
+// Get returns a child, or nil. keys are the keys of a list entry or the value of a leaf-list element, in canonical
+// form.
 func (n *Node) Get(name string, keys ...string) *Node {
 	d := n.Def.byName[name]
 	if d == nil {
 		return nil
 	}
-	return n.kids[ident(d, keys)]
+	return n.children[childID(d, keys)]
 }
 
-// Leaf returns a leaf's value, and whether it is there.
+// Leaf returns the value of a child leaf, and whether the leaf exists.
 func (n *Node) Leaf(name string) (string, bool) {
-	if c := n.kids[name]; c != nil && c.Def.Kind == Leaf {
+	if c := n.children[name]; c != nil && c.Def.Kind == Leaf {
 		return c.Value, true
 	}
 	return "", false
 }
 
-// Len is the number of children.
-func (n *Node) Len() int { return len(n.kids) }
+// Len returns the number of children.
+func (n *Node) Len() int { return len(n.children) }
 
-// Children returns the children in their order: the model's, then by keys, numbers by their value.
+// Children returns the children in document order: by definition, then entries and elements by their keys, or by
+// insertion in user-ordered lists. The caller must not change the slice.
 func (n *Node) Children() []*Node {
-	if n.sorted == nil && len(n.kids) > 0 {
-		n.sorted = make([]*Node, 0, len(n.kids))
-		for _, c := range n.kids {
+	if n.sorted == nil && len(n.children) > 0 {
+		n.sorted = make([]*Node, 0, len(n.children))
+		for _, c := range n.children {
 			n.sorted = append(n.sorted, c)
 		}
 		slices.SortFunc(n.sorted, func(a, b *Node) int {
 			if a.Def != b.Def {
-				return cmp.Or(cmp.Compare(a.Def.order, b.Def.order), cmp.Compare(a.id, b.id))
+				return cmp.Or(cmp.Compare(a.Def.position, b.Def.position), cmp.Compare(a.id, b.id))
 			}
-			if a.Def.Ordered {
-				return cmp.Compare(a.turn, b.turn)
+			if a.Def.UserOrdered {
+				return cmp.Compare(a.seq, b.seq)
 			}
 			return slices.CompareFunc(a.Keys(), b.Keys(), compareKeys)
 		})
 		for i, c := range n.sorted {
-			c.place = i
+			c.sortedIndex = i
 		}
 	}
 	return n.sorted
 }
 
-// compareKeys orders numbers by their value, and all else as text.
+// compareKeys orders integers by value, and other keys as text.
 func compareKeys(a, b string) int {
 	x, errX := strconv.ParseInt(a, 10, 64)
 	y, errY := strconv.ParseInt(b, 10, 64)
@@ -114,40 +117,41 @@
 	return cmp.Compare(a, b)
 }
 
-// ErrExists and ErrMissing tell that a child is there already, or is not there.
+// ErrExists reports that a child to add already exists, ErrMissing that there is no node at a path.
 var (
 	ErrExists  = errors.New("it is there already")
 	ErrMissing = errors.New("it is not there")
 )
 
-// Add adds a child. keys are those of a list entry, which get their leaves, or the value of a leaf or an element.
-// Values have to be canonical. One that is there already is returned with ErrExists.
+// Add adds a child. keys are the keys of a list entry, whose key leaves are added too, or the value of a leaf or a
+// leaf-list element; they have to be canonical. A child that already exists is returned with ErrExists. Children of
+// other cases of the same choice are removed.
 func (n *Node) Add(d *Def, keys ...string) (*Node, error) {
 	if d.Parent != n.Def {
 		return nil, fmt.Errorf("schema: %s has no child %s", n.Def, d)
 	}
-	id := ident(d, keys)
-	if c := n.kids[id]; c != nil {
+	id := childID(d, keys)
+	if c := n.children[id]; c != nil {
 		return c, ErrExists
 	}
 	c := &Node{Def: d, Parent: n, id: id}
 	if d.Leafy() && len(keys) > 0 {
 		c.Value = keys[0]
 	}
-	if n.kids == nil {
-		n.kids = map[string]*Node{}
+	if n.children == nil {
+		n.children = map[string]*Node{}
 	}
-	for _, x := range n.kids { // another case of the same choice goes (RFC 7950, 7.9)
-		if d.choice != "" && x.Def.choice == d.choice && x.Def.branch != d.branch {
+	for _, x := range n.children { // a node of one case removes the nodes of the others (RFC 7950, 7.9)
+		if d.choiceName != "" && x.Def.choiceName == d.choiceName && x.Def.caseName != d.caseName {
 			n.Remove(x)
 		}
 	}
-	n.turns++
-	c.turn = n.turns
-	n.kids[id], n.sorted = c, nil
+	n.lastSeq++
+	c.seq = n.lastSeq
+	n.children[id], n.sorted = c, nil
 	if d.Kind == List {
 		if len(keys) != len(d.Keys) {
-			delete(n.kids, id)
+			delete(n.children, id)
 			return nil, fmt.Errorf("schema: %s needs %d keys", d, len(d.Keys))
 		}
 		for i, k := range d.Keys {
@@ -159,7 +163,7 @@
 	return c, nil
 }
 
-// Set sets a leaf's value, which has to be canonical, and tells whether that changed anything.
+// Set sets the value of a child leaf, which has to be canonical, and reports whether that changed the tree.
 func (n *Node) Set(d *Def, value string) (bool, error) {
 	c, err := n.Add(d, value)
 	if errors.Is(err, ErrExists) {
@@ -170,41 +174,42 @@
 	return true, err
 }
 
-// Remove takes a child off.
+// Remove removes a child with its descendants, and nothing if c is not a child of n.
 func (n *Node) Remove(c *Node) {
-	if n.kids[c.id] == c {
-		delete(n.kids, c.id)
+	if n.children[c.id] == c {
+		delete(n.children, c.id)
 		n.sorted, c.Parent = nil, nil
 	}
 }
 
-// Clone copies a node with all under it. The copy has no parent.
+// Clone returns a deep copy of a node. The copy has no parent.
 func (n *Node) Clone() *Node {
-	c := &Node{Def: n.Def, Value: n.Value, id: n.id, turn: n.turn, turns: n.turns}
-	if len(n.kids) > 0 {
-		c.kids = make(map[string]*Node, len(n.kids))
-		for id, k := range n.kids {
+	c := &Node{Def: n.Def, Value: n.Value, id: n.id, seq: n.seq, lastSeq: n.lastSeq}
+	if len(n.children) > 0 {
+		c.children = make(map[string]*Node, len(n.children))
+		for id, k := range n.children {
 			x := k.Clone()
 			x.Parent = c
-			c.kids[id] = x
+			c.children[id] = x
 		}
 	}
 	return c
 }
 
-// Adopt puts a copy of a node with all under it in, in place of one with the same keys.
+// Adopt adds a deep copy of x as a child, replaces a child with the same name and keys, and returns the copy.
 func (n *Node) Adopt(x *Node) *Node {
 	c := x.Clone()
-	n.turns++
-	c.Parent, c.turn = n, n.turns
-	if n.kids == nil {
-		n.kids = map[string]*Node{}
+	n.lastSeq++
+	c.Parent, c.seq = n, n.lastSeq
+	if n.children == nil {
+		n.children = map[string]*Node{}
 	}
-	n.kids[c.id], n.sorted = c, nil
+	n.children[c.id], n.sorted = c, nil
 	return c
 }
 
-// Walk visits a node and all under it in order; it does not go below one for which f tells false.
+// Walk calls f for a node and its descendants in document order. It skips the descendants of a node for which f returns
+// false.
 func (n *Node) Walk(f func(*Node) bool) {
 	if !f(n) {
 		return
@@ -214,21 +219,22 @@
 	}
 }
 
-// Path returns the path from the root, with keys: an instance identifier without prefixes.
+// Path returns the path from the root, with keys: an instance-identifier without prefixes.
 func (n *Node) Path() string {
 	if n.Parent == nil {
 		return "/"
 	}
 	var b strings.Builder
-	n.path(&b)
+	n.writePath(&b)
 	return b.String()
 }
 
-func (n *Node) path(b *strings.Builder) {
+// writePath writes the path of a node; the root's is empty.
+func (n *Node) writePath(b *strings.Builder) {
 	if n.Parent == nil {
 		return
 	}
-	n.Parent.path(b)
+	n.Parent.writePath(b)
 	b.WriteString("/" + n.Def.Name)
 	for i, k := range n.Keys() {
 		name := "."
@@ -239,7 +245,8 @@
 	}
 }
 
-// Quote writes a value in a path (RFC 7950, 14: a quoted string has no escapes, so the quotes are chosen).
+// Quote quotes a value for a path. Quoted strings have no escapes (RFC 7950, 14): a value without single quotes is put
+// in single quotes, any other in double quotes, with &quot; for double quotes in the value.
 func Quote(v string) string {
 	if !strings.Contains(v, "'") {
 		return "'" + v + "'"
@@ -247,7 +254,7 @@
 	return `"` + strings.ReplaceAll(v, `"`, "&quot;") + `"`
 }
 
-// Find returns the node at a path as Path writes it.
+// Find returns the node below n at a path in the form of Path, or an error that wraps ErrMissing.
 func (n *Node) Find(text string) (*Node, error) {
 	steps, err := ParsePath(text)
 	if err != nil {
@@ -259,25 +266,25 @@
 		if d == nil {
 			return nil, fmt.Errorf("%s: no node %s in the model", text, s.Name)
 		}
-		keys, err := s.values(d)
+		keys, err := s.canonicalKeys(d)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", text, err)
 		}
-		if at = at.kids[ident(d, keys)]; at == nil {
+		if at = at.children[childID(d, keys)]; at == nil {
 			return nil, fmt.Errorf("%s: %w", text, ErrMissing)
 		}
 	}
 	return at, nil
 }
 
-// Step is an element of a path.
+// Step is one node of a path.
 type Step struct {
 	Name string
 	Keys map[string]string // "." for an element of a leaf-list
 }
 
-// values returns the keys in the model's order and in canonical form.
-func (s Step) values(d *Def) ([]string, error) {
+// canonicalKeys returns the keys of a step in the model's order and in canonical form.
+func (s Step) canonicalKeys(d *Def) ([]string, error) {
 	names := d.Keys
 	if d.Kind == LeafList {
 		names = []string{"."}
@@ -304,15 +311,15 @@
 	return out, nil
 }
 
-// ParsePath reads a path as Path writes it; prefixes of names are passed over.
+// ParsePath parses a path in the form of Path. Prefixes of names are ignored. The model is not consulted.
 func ParsePath(text string) ([]Step, error) {
 	var out []Step
 	rest := text
-	bad := func(why string) ([]Step, error) { return nil, fmt.Errorf("path %q: %s", clip(text), why) }
+	syntaxError := func(why string) ([]Step, error) { return nil, fmt.Errorf("path %q: %s", truncate(text), why) }
 	for rest = strings.TrimSuffix(rest, "/"); rest != ""; {
 		var ok bool
 		if rest, ok = strings.CutPrefix(rest, "/"); !ok {
-			return bad("a / is needed")
+			return syntaxError("a / is needed")
 		}
 		end := strings.IndexAny(rest, "/[")
 		if end < 0 {
@@ -323,16 +330,16 @@
 			s.Name = s.Name[i+1:]
 		}
 		if s.Name == "" {
-			return bad("a name is missing")
+			return syntaxError("a name is missing")
 		}
 		for rest = rest[end:]; strings.HasPrefix(rest, "["); {
 			name, tail, ok := strings.Cut(rest[1:], "=")
 			if name = strings.TrimSpace(name); !ok || len(tail) < 2 || tail[0] != '\'' && tail[0] != '"' {
-				return bad("a key and a quoted value are needed")
+				return syntaxError("a key and a quoted value are needed")
 			}
 			end := strings.IndexByte(tail[1:], tail[0])
 			if end < 0 || !strings.HasPrefix(tail[end+2:], "]") {
-				return bad("a key does not end")
+				return syntaxError("a key does not end")
 			}
 			if i := strings.IndexByte(name, ':'); i >= 0 {
 				name = name[i+1:]
@@ -341,7 +348,7 @@
 				s.Keys = map[string]string{}
 			}
 			if _, twice := s.Keys[name]; twice {
-				return bad("a key is given twice")
+				return syntaxError("a key is given twice")
 			}
 			s.Keys[name] = strings.ReplaceAll(tail[1:end+1], "&quot;", `"`)
 			rest = tail[end+3:]
--- a/internal/schema/types.go
+++ b/internal/schema/types.go
@@ -13,16 +13,16 @@
 	"github.com/openconfig/goyang/pkg/yang"
 )
 
-// pattern is an XSD pattern, which always holds for the whole value (RFC 7950, 9.4.5).
+// pattern is a compiled XSD pattern. It has to match the whole value (RFC 7950, 9.4.5).
 type pattern struct {
 	text string
 	re   *regexp.Regexp
 }
 
-// compilePattern turns an XSD pattern into one of Go. Of what the two write differently, only \i and \c come up in
-// models; they are not known to Go and make it fail, by name.
+// compilePattern translates an XSD regular expression to Go's syntax. Of the other differences between the two, only
+// \i and \c occur in models; Go does not know them, so the pattern fails to compile with an error that names them.
 func compilePattern(text string) (pattern, error) {
-	// In XSD, ^ and $ are plain characters outside brackets; Go would take them as anchors.
+	// Outside brackets, ^ and $ are literals in XSD and anchors in Go.
 	var b strings.Builder
 	brackets := 0
 	for i := 0; i < len(text); i++ {
@@ -45,8 +45,8 @@
 	return pattern{text, re}, err
 }
 
-// supported tells whether values of a type can be checked.
-func (d *Def) supported(t *yang.YangType) error {
+// compileType compiles the patterns of a type and its union members, and returns an error for unsupported types.
+func (d *Def) compileType(t *yang.YangType) error {
 	for _, p := range t.Pattern {
 		c, err := compilePattern(p)
 		if err != nil {
@@ -63,7 +63,7 @@
 			if member.Kind == yang.Yleafref {
 				return fmt.Errorf("schema: %s: leafrefs in unions are not supported", d)
 			}
-			if err := d.supported(member); err != nil {
+			if err := d.compileType(member); err != nil {
 				return err
 			}
 		}
@@ -72,30 +72,31 @@
 	return fmt.Errorf("schema: %s: type %s is not supported", d, t.Name)
 }
 
-// Canonical checks a value of a leaf or leaf-list and returns it in its canonical form (RFC 7950, 9.1). That the
-// target of a leafref is there is for Validate.
+// Canonical checks a value of a leaf or leaf-list and returns its canonical form (RFC 7950, 9.1). Whether an instance
+// with the value of a leafref exists is left to Validate.
 func (d *Def) Canonical(text string) (string, error) {
-	if d.target != nil {
-		return d.target.Canonical(text)
+	if d.leafrefTarget != nil {
+		return d.leafrefTarget.Canonical(text)
 	}
-	out, err := d.value(d.Type, text)
+	out, err := d.canonicalForType(d.Type, text)
 	if err != nil {
-		return "", fmt.Errorf("%q is not a value of %s: %w", clip(text), d.Name, err)
+		return "", fmt.Errorf("%q is not a value of %s: %w", truncate(text), d.Name, err)
 	}
 	return out, nil
 }
 
-// value checks a value of a type with its patterns.
-func (d *Def) value(t *yang.YangType, text string) (string, error) {
+// canonicalForType checks a value against a type with its patterns, and returns its canonical form. The first matching
+// member of a union applies.
+func (d *Def) canonicalForType(t *yang.YangType, text string) (string, error) {
 	if t.Kind == yang.Yunion {
 		for _, member := range t.Type {
-			if out, err := d.value(member, text); err == nil {
+			if out, err := d.canonicalForType(member, text); err == nil {
 				return out, nil
 			}
 		}
 		return "", errors.New("no member of the union takes it")
 	}
-	out, err := canonical(t, text)
+	out, err := canonicalBuiltin(t, text)
 	if err != nil {
 		return "", err
 	}
@@ -107,36 +108,36 @@
 	return out, nil
 }
 
-// clip keeps what is quoted in errors short.
-func clip(text string) string {
+// truncate shortens a text that is quoted in an error to at most 64 bytes, followed by "...".
+func truncate(text string) string {
 	if len(text) > 64 {
 		return strings.ToValidUTF8(text[:64], "") + "..."
 	}
 	return text
 }
 
-var errRange = errors.New("outside the range")
+var errOutOfRange = errors.New("outside the range")
 
-// canonical checks a value of a type.
-func canonical(t *yang.YangType, text string) (string, error) {
+// canonicalBuiltin checks a value against a built-in type with its range or length, and returns its canonical form.
+func canonicalBuiltin(t *yang.YangType, text string) (string, error) {
 	switch t.Kind {
 	case yang.Yint8, yang.Yint16, yang.Yint32, yang.Yint64, yang.Yuint8, yang.Yuint16, yang.Yuint32, yang.Yuint64:
 		n, err := yang.ParseInt(strings.TrimSpace(text))
 		if err != nil {
 			return "", errors.New("a whole number is needed")
 		}
-		return n.String(), within(t.Range, n)
+		return n.String(), checkRange(t.Range, n)
 	case yang.Ydecimal64:
 		n, err := yang.ParseDecimal(strings.TrimSpace(text), uint8(t.FractionDigits))
 		if err != nil {
 			return "", fmt.Errorf("a number with at most %d digits after the point is needed", t.FractionDigits)
 		}
-		return decimal(n.String()), within(t.Range, n)
+		return canonicalDecimal(n.String()), checkRange(t.Range, n)
 	case yang.Ystring:
 		if !utf8.ValidString(text) || strings.ContainsFunc(text, func(r rune) bool { return r < ' ' && r != '\t' && r != '\n' && r != '\r' }) {
 			return "", errors.New("it holds characters that XML can't (RFC 7950, 9.4)")
 		}
-		return text, within(t.Length, yang.FromInt(int64(utf8.RuneCountInString(text))))
+		return text, checkRange(t.Length, yang.FromInt(int64(utf8.RuneCountInString(text))))
 	case yang.Ybool:
 		if text != "true" && text != "false" {
 			return "", errors.New("true or false is needed")
@@ -157,7 +158,7 @@
 		if err != nil {
 			return "", errors.New("base64 is needed")
 		}
-		return base64.StdEncoding.EncodeToString(b), within(t.Length, yang.FromInt(int64(len(b))))
+		return base64.StdEncoding.EncodeToString(b), checkRange(t.Length, yang.FromInt(int64(len(b))))
 	case yang.Ybits: // in the order of their positions (RFC 7950, 9.7.2)
 		names := strings.Fields(text)
 		for i, n := range names {
@@ -171,19 +172,20 @@
 	return "", fmt.Errorf("type %s", t.Name)
 }
 
-// within tells whether a number lies in a range; an empty one is any.
-func within(r yang.YangRange, n yang.Number) error {
+// checkRange returns an error if n is outside a range. An empty range allows any number.
+func checkRange(r yang.YangRange, n yang.Number) error {
 	if len(r) > 0 && !r.Contains(yang.YangRange{{Min: n, Max: n}}) {
-		return fmt.Errorf("%w %s", errRange, r)
+		return fmt.Errorf("%w %s", errOutOfRange, r)
 	}
 	return nil
 }
 
-// decimal is the canonical form: no zeros at the end but one after the point (RFC 7950, 9.3.2).
-func decimal(text string) string {
-	whole, part, _ := strings.Cut(text, ".")
-	if part = strings.TrimRight(part, "0"); part == "" {
-		part = "0"
+// canonicalDecimal returns the canonical form of a decimal64: no trailing zeros, but at least one digit after the point
+// (RFC 7950, 9.3.2).
+func canonicalDecimal(text string) string {
+	whole, fraction, _ := strings.Cut(text, ".")
+	if fraction = strings.TrimRight(fraction, "0"); fraction == "" {
+		fraction = "0"
 	}
-	return whole + "." + part
+	return whole + "." + fraction
 }
--- a/internal/schema/validate.go
+++ b/internal/schema/validate.go
@@ -7,10 +7,10 @@
 	"github.com/antchfx/xpath"
 )
 
-// Tag is an error's kind (RFC 6241, appendix A).
+// Tag is a NETCONF error-tag (RFC 6241, appendix A).
 type Tag string
 
-// The tags that validation and edits use.
+// The error-tags of validation, edits and locks.
 const (
 	DataExists       Tag = "data-exists"
 	DataMissing      Tag = "data-missing"
@@ -26,15 +26,15 @@
 	OperationUnknown Tag = "operation-not-supported"
 )
 
-// Fault is what is wrong at a place. It is an error.
+// Fault is an error at an instance, with the fields of a NETCONF rpc-error. AppTag, the error-app-tag, may be empty.
 type Fault struct {
 	Tag     Tag
 	AppTag  string
-	Path    string // of the instance
+	Path    string // of the instance, or empty
 	Message string
 }
 
-// Error implements error.
+// Error returns the path and the message.
 func (f Fault) Error() string {
 	if f.Path == "" {
 		return f.Message
@@ -42,86 +42,88 @@
 	return f.Path + ": " + f.Message
 }
 
-// mostFaults bounds what one validation reports.
-const mostFaults = 100
+// maxFaults is the maximum number of faults that one validation reports.
+const maxFaults = 100
 
-// checker is one validation.
+// checker holds the state of one validation. leafrefValues caches instanceValues.
 type checker struct {
-	faults  []Fault
-	targets map[*Def]map[string]struct{}
-	root    *Node
+	faults        []Fault
+	leafrefValues map[*Def]map[string]struct{}
+	root          *Node
 }
 
-// Validate tells all that is wrong with a tree as a whole, or the first hundred faults of it (RFC 7950, 8.3.3, with
-// the tags of section 15). Values are canonical already. Conditions see defaults as if they were set.
+// Validate checks all constraints on a complete tree and returns the faults, at most maxFaults (RFC 7950, 8.3.3, with
+// the tags of section 15). Values must already be canonical. XPath conditions see default values as if they were set.
+// The tree is not changed.
 func (m *Model) Validate(tree *Node) []Fault {
-	k := &checker{root: tree.Clone(), targets: map[*Def]map[string]struct{}{}}
-	k.root.fill()
-	k.node(k.root)
+	k := &checker{root: tree.Clone(), leafrefValues: map[*Def]map[string]struct{}{}}
+	k.root.fillDefaults()
+	k.checkNode(k.root)
 	return k.faults
 }
 
-// WithDefaults returns a copy of a tree in which all defaults in use are set (RFC 6243, 3.1), as conditions see it.
+// WithDefaults returns a copy of a tree in which all defaults in use are set (RFC 6243, 3.1), as conditions see them.
 func WithDefaults(tree *Node) *Node {
 	c := tree.Clone()
-	c.fill()
+	c.fillDefaults()
 	return c
 }
 
-// fill sets the defaults under a node; containers without presence are always there.
-func (n *Node) fill() {
+// fillDefaults sets the default values below a node and adds its missing non-presence containers.
+func (n *Node) fillDefaults() {
 	for _, d := range n.Def.Children {
 		if !d.Config {
 			continue
 		}
 		switch {
 		case d.Kind == Container && !d.Presence:
-			_, _ = n.Add(d) // there already is as good
+			_, _ = n.Add(d) // ErrExists is fine
 		case d.Kind == Leaf && len(d.Default) == 1:
 			if v, err := d.Canonical(d.Default[0]); err == nil {
 				_, _ = n.Add(d, v)
 			}
 		}
 	}
-	for _, c := range n.kids {
+	for _, c := range n.children {
 		if !c.Def.Leafy() {
-			c.fill()
+			c.fillDefaults()
 		}
 	}
 }
 
-// fault books one, and tells whether there is room for more.
-func (k *checker) fault(tag Tag, app string, at *Node, under, message string) bool {
+// addFault records a fault at a node, or at its child childName unless that is empty. It reports whether further faults
+// can be recorded.
+func (k *checker) addFault(tag Tag, appTag string, at *Node, childName, message string) bool {
 	path := at.Path()
-	if under != "" {
-		path = strings.TrimSuffix(path, "/") + "/" + under
+	if childName != "" {
+		path = strings.TrimSuffix(path, "/") + "/" + childName
 	}
-	if len(k.faults) < mostFaults {
-		k.faults = append(k.faults, Fault{tag, app, path, message})
+	if len(k.faults) < maxFaults {
+		k.faults = append(k.faults, Fault{tag, appTag, path, message})
 	}
-	return len(k.faults) < mostFaults
+	return len(k.faults) < maxFaults
 }
 
-// node checks a node and all under it.
-func (k *checker) node(n *Node) {
+// checkNode checks a node and its descendants. State data is skipped.
+func (k *checker) checkNode(n *Node) {
 	d := n.Def
-	if len(k.faults) >= mostFaults || d.Parent != nil && !d.Config {
+	if len(k.faults) >= maxFaults || d.Parent != nil && !d.Config {
 		return
 	}
 	if d.when != nil && !holds(*d.when, n) {
-		k.fault(UnknownElement, "", n, "", "it is there only when "+d.when.text)
+		k.addFault(UnknownElement, "", n, "", "it is there only when "+d.when.text)
 	}
-	if d.target != nil {
-		if _, ok := k.values(d.target)[n.Value]; !ok {
-			k.fault(DataMissing, "instance-required", n, "", fmt.Sprintf("there is no %s of the value %q", d.target, n.Value))
+	if d.leafrefTarget != nil {
+		if _, ok := k.instanceValues(d.leafrefTarget)[n.Value]; !ok {
+			k.addFault(DataMissing, "instance-required", n, "", fmt.Sprintf("there is no %s of the value %q", d.leafrefTarget, n.Value))
 		}
 	}
 	counts := map[*Def]uint64{}
 	for _, c := range n.Children() {
 		counts[c.Def]++
 	}
-	for _, c := range d.Children { // what is missing comes first: conditions fail where it is
-		k.child(n, c, counts[c])
+	for _, c := range d.Children { // missing children are reported first, since conditions fail because of them
+		k.checkChild(n, c, counts[c])
 	}
 	for _, c := range d.musts {
 		if !holds(c, n) {
@@ -129,34 +131,35 @@
 			if message == "" {
 				message = "must " + c.text
 			}
-			k.fault(OperationFailed, c.appTag, n, "", message)
+			k.addFault(OperationFailed, c.appTag, n, "", message)
 		}
 	}
 	for _, c := range n.Children() {
-		k.node(c)
+		k.checkNode(c)
 	}
 }
 
-// child checks what a node says of one kind of its children.
-func (k *checker) child(n *Node, c *Def, count uint64) {
+// checkChild checks mandatory, min-elements, max-elements and unique of the child definition c in the instance n, which
+// has count instances of it.
+func (k *checker) checkChild(n *Node, c *Def, count uint64) {
 	switch {
 	case !c.Config:
 		return
-	case c.Mandatory && count == 0 && c.wanted(n):
-		k.fault(DataMissing, "", n, c.Name, "it is mandatory")
+	case c.Mandatory && count == 0 && c.isRequired(n):
+		k.addFault(DataMissing, "", n, c.Name, "it is mandatory")
 	case c.Min > 0 && count < c.Min:
-		k.fault(OperationFailed, "too-few-elements", n, c.Name, "at least "+elements(c.Min)+" are needed")
+		k.addFault(OperationFailed, "too-few-elements", n, c.Name, "at least "+elementCount(c.Min)+" are needed")
 	case c.Max > 0 && count > c.Max:
-		k.fault(OperationFailed, "too-many-elements", n, c.Name, "at most "+elements(c.Max)+" are allowed")
+		k.addFault(OperationFailed, "too-many-elements", n, c.Name, "at most "+elementCount(c.Max)+" are allowed")
 	}
 	for _, set := range c.uniques {
-		k.unique(n, c, set)
+		k.checkUnique(n, c, set)
 	}
 }
 
-// wanted tells whether a mandatory child without an instance is missed: not where its condition does not hold. The
-// condition is one of the child, and is evaluated on one that is there for that.
-func (d *Def) wanted(n *Node) bool {
+// isRequired reports whether a mandatory child has to exist in n: only if its when condition holds. The context node of
+// the condition is the child, so a temporary instance is added to evaluate it.
+func (d *Def) isRequired(n *Node) bool {
 	if d.when == nil {
 		return true
 	}
@@ -168,8 +171,9 @@
 	return holds(*d.when, c)
 }
 
-// unique checks that no two entries agree in all leaves of a set; entries without one of them don't count.
-func (k *checker) unique(n *Node, list *Def, set [][]string) {
+// checkUnique checks that no two entries of a list have equal values in all leaves of a unique statement. Entries that
+// lack one of the leaves are ignored (RFC 7950, 7.8.3).
+func (k *checker) checkUnique(n *Node, list *Def, set [][]string) {
 	seen := map[string]*Node{}
 	for _, e := range n.Children() {
 		if e.Def != list {
@@ -179,7 +183,7 @@
 		for _, p := range set {
 			at := e
 			for _, name := range p {
-				if at = at.kids[name]; at == nil {
+				if at = at.children[name]; at == nil {
 					break
 				}
 			}
@@ -197,7 +201,7 @@
 			for _, p := range set {
 				names = append(names, strings.Join(p, "/"))
 			}
-			if !k.fault(OperationFailed, "data-not-unique", e, "",
+			if !k.addFault(OperationFailed, "data-not-unique", e, "",
 				fmt.Sprintf("%s is that of %s too", strings.Join(names, " with "), first.Path())) {
 				return
 			}
@@ -207,14 +211,14 @@
 	}
 }
 
-// values returns the values of all instances of a definition.
-func (k *checker) values(d *Def) map[string]struct{} {
-	if v, ok := k.targets[d]; ok {
+// instanceValues returns the values of all instances of a leaf definition in the tree.
+func (k *checker) instanceValues(d *Def) map[string]struct{} {
+	if v, ok := k.leafrefValues[d]; ok {
 		return v
 	}
-	var line []*Def
+	var chain []*Def
 	for x := d; x.Parent != nil; x = x.Parent {
-		line = append(line, x)
+		chain = append(chain, x)
 	}
 	out := map[string]struct{}{}
 	var collect func(n *Node, depth int)
@@ -224,18 +228,18 @@
 			return
 		}
 		for _, c := range n.Children() {
-			if c.Def == line[depth] {
+			if c.Def == chain[depth] {
 				collect(c, depth-1)
 			}
 		}
 	}
-	collect(k.root, len(line)-1)
-	k.targets[d] = out
+	collect(k.root, len(chain)-1)
+	k.leafrefValues[d] = out
 	return out
 }
 
-// holds evaluates a condition with a node as its context.
-func holds(c must, n *Node) bool {
+// holds evaluates a condition with n as the context node, and converts the result to a boolean (XPath 1.0, 4.3).
+func holds(c condition, n *Node) bool {
 	switch v := c.expr.Evaluate(&navigator{n}).(type) {
 	case bool:
 		return v
@@ -249,112 +253,112 @@
 	return false
 }
 
-// Select returns the nodes under a tree that an expression names, in document order (RFC 6241, 8.9). Prefixes of
-// names are passed over.
+// Select returns the nodes of a tree that an XPath expression selects, in document order (RFC 6241, 8.9). Prefixes of
+// names are ignored. An expression whose result is not a node-set is an error.
 func Select(tree *Node, expression string) (out []*Node, err error) {
-	defer func() { // the library panics on some expressions that compile
+	defer func() { // the XPath library panics on some expressions that compile
 		if p := recover(); p != nil {
-			out, err = nil, fmt.Errorf("xpath %q: %v", clip(expression), p)
+			out, err = nil, fmt.Errorf("xpath %q: %v", truncate(expression), p)
 		}
 	}()
-	e, err := xpath.Compile(bare(expression))
+	e, err := xpath.Compile(stripPrefixes(expression))
 	if err != nil {
-		return nil, fmt.Errorf("xpath %q: %w", clip(expression), err)
+		return nil, fmt.Errorf("xpath %q: %w", truncate(expression), err)
 	}
 	it, ok := e.Evaluate(&navigator{tree}).(*xpath.NodeIterator)
 	if !ok {
-		return nil, fmt.Errorf("xpath %q: it names no nodes", clip(expression))
+		return nil, fmt.Errorf("xpath %q: it names no nodes", truncate(expression))
 	}
 	for it.MoveNext() {
 		if x, ok := it.Current().(*navigator); ok {
-			out = append(out, x.at)
+			out = append(out, x.node)
 		}
 	}
 	return out, nil
 }
 
-// navigator walks a tree for XPath.
-type navigator struct{ at *Node }
+// navigator implements xpath.NodeNavigator on a tree.
+type navigator struct{ node *Node }
 
-// NodeType and the methods below implement xpath.NodeNavigator.
+// NodeType returns RootNode for the root and ElementNode for all other nodes.
 func (x *navigator) NodeType() xpath.NodeType {
-	if x.at.Parent == nil {
+	if x.node.Parent == nil {
 		return xpath.RootNode
 	}
 	return xpath.ElementNode
 }
 
-func (x *navigator) LocalName() string { return x.at.Def.Name }
+func (x *navigator) LocalName() string { return x.node.Def.Name }
 func (x *navigator) Prefix() string    { return "" }
 
-// Value is the text of a node and of all under it (XPath 1.0, 5.2).
+// Value returns the string-value of a node: the text of the node and its descendants (XPath 1.0, 5.2).
 func (x *navigator) Value() string {
-	if x.at.Def.Leafy() {
-		return x.at.Value
+	if x.node.Def.Leafy() {
+		return x.node.Value
 	}
 	var b strings.Builder
-	x.at.Walk(func(n *Node) bool {
+	x.node.Walk(func(n *Node) bool {
 		b.WriteString(n.Value)
 		return true
 	})
 	return b.String()
 }
 
-func (x *navigator) Copy() xpath.NodeNavigator { return &navigator{x.at} }
+func (x *navigator) Copy() xpath.NodeNavigator { return &navigator{x.node} }
 
 func (x *navigator) MoveToRoot() {
-	for x.at.Parent != nil {
-		x.at = x.at.Parent
+	for x.node.Parent != nil {
+		x.node = x.node.Parent
 	}
 }
 
 func (x *navigator) MoveToParent() bool {
-	if x.at.Parent == nil {
+	if x.node.Parent == nil {
 		return false
 	}
-	x.at = x.at.Parent
+	x.node = x.node.Parent
 	return true
 }
 
 func (x *navigator) MoveToNextAttribute() bool { return false }
 
 func (x *navigator) MoveToChild() bool {
-	if kids := x.at.Children(); len(kids) > 0 {
-		x.at = kids[0]
+	if children := x.node.Children(); len(children) > 0 {
+		x.node = children[0]
 		return true
 	}
 	return false
 }
 
 func (x *navigator) MoveToFirst() bool {
-	if x.at.Parent == nil {
+	if x.node.Parent == nil {
 		return false
 	}
-	x.at = x.at.Parent.Children()[0]
+	x.node = x.node.Parent.Children()[0]
 	return true
 }
 
-func (x *navigator) MoveToNext() bool     { return x.move(1) }
-func (x *navigator) MoveToPrevious() bool { return x.move(-1) }
+func (x *navigator) MoveToNext() bool     { return x.moveSibling(1) }
+func (x *navigator) MoveToPrevious() bool { return x.moveSibling(-1) }
 
-// move goes to a sibling.
-func (x *navigator) move(by int) bool {
-	if x.at.Parent == nil {
+// moveSibling moves by an offset among the siblings, and reports whether there is such a sibling.
+func (x *navigator) moveSibling(offset int) bool {
+	if x.node.Parent == nil {
 		return false
 	}
-	kids := x.at.Parent.Children()
-	i := x.at.index(kids) + by
-	if i < 0 || i >= len(kids) {
+	siblings := x.node.Parent.Children()
+	i := x.node.index(siblings) + offset
+	if i < 0 || i >= len(siblings) {
 		return false
 	}
-	x.at = kids[i]
+	x.node = siblings[i]
 	return true
 }
 
 func (x *navigator) MoveTo(other xpath.NodeNavigator) bool {
 	o, ok := other.(*navigator)
 	if ok {
-		x.at = o.at
+		x.node = o.node
 	}
 	return ok
 }
