--- a/internal/nacm/nacm.go
+++ b/internal/nacm/nacm.go
@@ -1,5 +1,5 @@
-// Package nacm decides who may do what to which node, by the rules that are part of the configuration (RFC 8341). It
-// has no I/O and knows no wires: users are names, and what they want are nodes, modules and operations.
+// Package nacm implements the NETCONF access control model (RFC 8341): it decides which user may access which nodes,
+// operations and notifications, by the rules in the configuration. It does no I/O and is independent of the transport.
 package nacm
 
 import (
@@ -11,13 +11,13 @@
 	"brookmux/internal/schema"
 )
 
-// Module is the module that holds the rules. Its nodes are closed to all whom no rule permits (RFC 8341, 3.2.8).
+// Module is the YANG module of the rules. Access to its nodes is denied unless a rule permits it (RFC 8341, 3.2.8).
 const Module = "ietf-netconf-acm"
 
-// Op is what is done.
+// Op is an access operation.
 type Op string
 
-// The operations (RFC 8341, 3.2.2).
+// The access operations (RFC 8341, 3.2.2).
 const (
 	Create Op = "create"
 	Read   Op = "read"
@@ -26,31 +26,31 @@
 	Exec   Op = "exec"
 )
 
-// rule is one rule as it is matched.
+// rule is an access control rule. operations is "*" or a list of access operations separated by spaces.
 type rule struct {
-	module, rpc, notification string // empty: not about one; "*" all
+	module, rpc, notification string // names; "*" matches any, empty is not set
 	path                      []schema.Step
-	about                     bool // it is about data nodes of a path
-	ops                       string
+	hasPath                   bool // the rule applies to the data nodes at path and below it
+	operations                string
 	permit                    bool
 }
 
-// list is a rule list.
-type list struct {
+// ruleList is a rule-list entry: rules that apply to the users of some groups. Group "*" contains all users.
+type ruleList struct {
 	groups []string
 	rules  []rule
 }
 
-// Rules are the rules of one running configuration.
+// Rules are the access control rules of one configuration. They do not change after Of.
 type Rules struct {
-	on                bool
-	read, write, exec bool
-	groups            map[string][]string // of a user
-	lists             []list
+	enabled                                bool
+	readDefault, writeDefault, execDefault bool
+	groups                                 map[string][]string // group names by user name
+	ruleLists                              []ruleList
 }
 
-// value is a leaf's value or what it has without being set.
-func value(n *schema.Node, leaf string) string {
+// leafValue returns the value of a child leaf, else its default, else the empty string.
+func leafValue(n *schema.Node, leaf string) string {
 	if v, ok := n.Leaf(leaf); ok {
 		return v
 	}
@@ -60,15 +60,16 @@
 	return ""
 }
 
-// Of reads the rules of a tree. Where there is nothing under nacm, all is permitted: rules hold from the first one on.
+// Of reads the rules from a configuration tree. Without a nacm container, or with enable-nacm false, all access is
+// permitted.
 func Of(tree *schema.Node) *Rules {
 	r := &Rules{groups: map[string][]string{}}
 	n := tree.Get("nacm")
-	if n == nil || value(n, "enable-nacm") != "true" {
+	if n == nil || leafValue(n, "enable-nacm") != "true" {
 		return r
 	}
-	r.on = true
-	r.read, r.write, r.exec = value(n, "read-default") == "permit", value(n, "write-default") == "permit", value(n, "exec-default") == "permit"
+	r.enabled = true
+	r.readDefault, r.writeDefault, r.execDefault = leafValue(n, "read-default") == "permit", leafValue(n, "write-default") == "permit", leafValue(n, "exec-default") == "permit"
 	if groups := n.Get("groups"); groups != nil {
 		for _, g := range groups.Children() {
 			for _, u := range g.Children() {
@@ -82,32 +83,33 @@
 		if l.Def.Name != "rule-list" {
 			continue
 		}
-		var x list
+		var x ruleList
 		for _, c := range l.Children() {
 			switch c.Def.Name {
 			case "group":
 				x.groups = append(x.groups, c.Value)
 			case "rule":
-				x.rules = append(x.rules, one(c))
+				x.rules = append(x.rules, parseRule(c))
 			}
 		}
-		r.lists = append(r.lists, x)
+		r.ruleLists = append(r.ruleLists, x)
 	}
 	return r
 }
 
-// one reads a rule.
-func one(n *schema.Node) rule {
-	x := rule{module: value(n, "module-name"), rpc: value(n, "rpc-name"), notification: value(n, "notification-name"),
-		ops: value(n, "access-operations"), permit: value(n, "action") == "permit"}
+// parseRule reads a rule entry.
+func parseRule(n *schema.Node) rule {
+	x := rule{module: leafValue(n, "module-name"), rpc: leafValue(n, "rpc-name"), notification: leafValue(n, "notification-name"),
+		operations: leafValue(n, "access-operations"), permit: leafValue(n, "action") == "permit"}
 	if p, ok := n.Leaf("path"); ok {
-		x.about = true
-		x.path, _ = schema.ParsePath(p) // see Check
+		x.hasPath = true
+		x.path, _ = schema.ParsePath(p) // Check has rejected invalid paths
 	}
 	return x
 }
 
-// Check tells what is wrong with rules beside what the model says: paths that can't be read, or that name no node.
+// Check returns the faults in the rules of a tree that the YANG model does not exclude: paths that can't be parsed or
+// that name no node of the model.
 func Check(_, tree *schema.Node) (faults []schema.Fault) {
 	n := tree.Get("nacm")
 	if n == nil {
@@ -135,14 +137,14 @@
 	return faults
 }
 
-// matching returns the rules for a user, in their order.
-func (r *Rules) matching(user string, f func(rule) bool) (permit, found bool) {
-	for _, l := range r.lists {
+// firstMatch returns the action of the first rule for a user's groups that matches accepts, and whether there is one.
+func (r *Rules) firstMatch(user string, matches func(rule) bool) (permit, found bool) {
+	for _, l := range r.ruleLists {
 		if !slices.ContainsFunc(l.groups, func(g string) bool { return g == "*" || slices.Contains(r.groups[user], g) }) {
 			continue
 		}
 		for _, x := range l.rules {
-			if f(x) {
+			if matches(x) {
 				return x.permit, true
 			}
 		}
@@ -150,19 +152,19 @@
 	return false, false
 }
 
-// has tells whether a rule is about an operation.
-func (x rule) has(op Op) bool {
-	return x.ops == "*" || slices.Contains(strings.Fields(x.ops), string(op))
+// appliesTo reports whether a rule applies to an access operation.
+func (x rule) appliesTo(op Op) bool {
+	return x.operations == "*" || slices.Contains(strings.Fields(x.operations), string(op))
 }
 
-// Node tells whether a user may do something to a node (RFC 8341, 3.4.5).
+// Node reports whether a user may perform an access operation on a node (RFC 8341, 3.4.5).
 func (r *Rules) Node(user string, n *schema.Node, op Op) bool {
-	if !r.on {
+	if !r.enabled {
 		return true
 	}
-	permit, found := r.matching(user, func(x rule) bool {
-		return (x.module == "*" || x.module == n.Def.Module) && x.rpc == "" && x.notification == "" && x.has(op) &&
-			(!x.about || covers(x.path, n))
+	permit, found := r.firstMatch(user, func(x rule) bool {
+		return (x.module == "*" || x.module == n.Def.Module) && x.rpc == "" && x.notification == "" && x.appliesTo(op) &&
+			(!x.hasPath || pathCovers(x.path, n))
 	})
 	switch {
 	case found:
@@ -170,31 +172,31 @@
 	case n.Def.Module == Module:
 		return false
 	case op == Read:
-		return r.read
+		return r.readDefault
 	}
-	return r.write
+	return r.writeDefault
 }
 
-// covers tells whether a path names a node, or one that it stands under. A list without keys is all its entries.
-func covers(path []schema.Step, n *schema.Node) bool {
-	var line []*schema.Node
+// pathCovers reports whether a path names a node or one of its ancestors. A list step without keys matches all entries.
+func pathCovers(path []schema.Step, n *schema.Node) bool {
+	var chain []*schema.Node
 	for x := n; x.Parent != nil; x = x.Parent {
-		line = append(line, x)
+		chain = append(chain, x)
 	}
-	slices.Reverse(line)
-	if len(path) > len(line) {
+	slices.Reverse(chain)
+	if len(path) > len(chain) {
 		return false
 	}
 	for i, s := range path {
-		if line[i].Def.Name != s.Name {
+		if chain[i].Def.Name != s.Name {
 			return false
 		}
 		for k, v := range s.Keys {
-			is := line[i].Value
+			actual := chain[i].Value
 			if k != "." {
-				is, _ = line[i].Leaf(k)
+				actual, _ = chain[i].Leaf(k)
 			}
-			if is != v {
+			if actual != v {
 				return false
 			}
 		}
@@ -202,9 +204,9 @@
 	return true
 }
 
-// Path tells whether a user may read what stands at a path, and all that it stands under, also where nothing does now.
+// Path reports whether a user may read the node at a path and all its ancestors. The node need not exist in any tree.
 func (r *Rules) Path(user string, root *schema.Def, path string) bool {
-	if !r.on {
+	if !r.enabled {
 		return true
 	}
 	steps, err := schema.ParsePath(path)
@@ -236,42 +238,42 @@
 	return true
 }
 
-// closed are the operations that nobody may call whom no rule permits (RFC 8341, 3.2.8).
-var closed = []string{"kill-session", "delete-config"}
+// deniedByDefault are the protocol operations that are denied unless a rule permits them (RFC 8341, 3.2.8).
+var deniedByDefault = []string{"kill-session", "delete-config"}
 
-// Call tells whether a user may call an operation (RFC 8341, 3.4.4).
+// Call reports whether a user may call a protocol operation (RFC 8341, 3.4.4). close-session is always permitted.
 func (r *Rules) Call(user, module, name string) bool {
-	if !r.on || name == "close-session" {
+	if !r.enabled || name == "close-session" {
 		return true
 	}
-	permit, found := r.matching(user, func(x rule) bool {
-		return (x.module == "*" || x.module == module) && !x.about && x.notification == "" && (x.rpc == "" || x.rpc == "*" || x.rpc == name) &&
-			x.has(Exec)
+	permit, found := r.firstMatch(user, func(x rule) bool {
+		return (x.module == "*" || x.module == module) && !x.hasPath && x.notification == "" && (x.rpc == "" || x.rpc == "*" || x.rpc == name) &&
+			x.appliesTo(Exec)
 	})
 	if found {
 		return permit
 	}
-	return r.exec && !slices.Contains(closed, name)
+	return r.execDefault && !slices.Contains(deniedByDefault, name)
 }
 
-// Hear tells whether a user may be told of a notification (RFC 8341, 3.4.6).
+// Hear reports whether a user may receive a notification (RFC 8341, 3.4.6).
 func (r *Rules) Hear(user, module, name string) bool {
-	if !r.on {
+	if !r.enabled {
 		return true
 	}
-	permit, found := r.matching(user, func(x rule) bool {
-		return (x.module == "*" || x.module == module) && !x.about && x.rpc == "" &&
-			(x.notification == "" || x.notification == "*" || x.notification == name) && x.has(Read)
+	permit, found := r.firstMatch(user, func(x rule) bool {
+		return (x.module == "*" || x.module == module) && !x.hasPath && x.rpc == "" &&
+			(x.notification == "" || x.notification == "*" || x.notification == name) && x.appliesTo(Read)
 	})
 	if found {
 		return permit
 	}
-	return r.read
+	return r.readDefault
 }
 
-// Shown takes off a tree what a user may not read.
+// Shown removes from a tree the nodes that a user may not read. Key leaves of readable entries stay.
 func (r *Rules) Shown(user string, tree *schema.Node) {
-	if !r.on {
+	if !r.enabled {
 		return
 	}
 	for _, c := range slices.Clone(tree.Children()) {
@@ -283,9 +285,9 @@
 	}
 }
 
-// Changes tells which of the changes between two trees a user may not make.
+// Changes returns an access-denied fault for each change between two trees that a user may not make, at most 10.
 func (r *Rules) Changes(user string, old, next *schema.Node, changes []schema.Change) (faults []schema.Fault) {
-	if !r.on {
+	if !r.enabled {
 		return nil
 	}
 	for _, c := range changes {
--- a/internal/nacm/nacm_test.go
+++ b/internal/nacm/nacm_test.go
@@ -36,7 +36,8 @@
 	/exchanges/exchange[number='2']/zone = b
 `
 
-func tree(t *testing.T, lines string) *schema.Node {
+// buildTree builds a tree from lines of the form "path" or "path = value".
+func buildTree(t *testing.T, lines string) *schema.Node {
 	m, err := schema.Load(yang.Files)
 	require.NoError(t, err)
 	n := m.NewTree()
@@ -48,9 +49,10 @@
 	return n
 }
 
-// TestNodes: the first rule that matches counts, then the defaults, and the rules themselves are closed.
+// TestNodes checks that the first matching rule applies, then the defaults, and that access to the rules themselves is
+// denied by default.
 func TestNodes(t *testing.T) {
-	n := tree(t, rules)
+	n := buildTree(t, rules)
 	r := Of(n)
 	for _, c := range []struct {
 		user, path string
@@ -89,30 +91,31 @@
 		{Path: "/exchanges/exchange[number='2']/number", Value: "2"}}, next.Items())
 }
 
-// TestOff: nothing set, or switched off, is no control; the defaults alone are one.
+// TestOff checks that all access is permitted without a nacm container or with enable-nacm false, and that the defaults
+// apply without any rule.
 func TestOff(t *testing.T) {
 	for lines, want := range map[string]bool{"": true, "/nacm/enable-nacm = false": true, "/nacm/enable-nacm = true": false,
 		"/nacm/write-default = permit": true} {
-		n := tree(t, lines+"\n/limits/max-wait = 5")
+		n := buildTree(t, lines+"\n/limits/max-wait = 5")
 		require.Equal(t, want, Of(n).Node("eve", n.Get("limits"), Update), lines)
 	}
 }
 
-// TestCheck: rules about nothing are refused; the order of rules survives a difference.
+// TestCheck checks that rules with a path to no node are rejected, and that Diff and Patch keep the order of rules.
 func TestCheck(t *testing.T) {
-	n := tree(t, rules)
+	n := buildTree(t, rules)
 	require.Empty(t, Check(nil, n))
 	bad := n.Clone()
 	require.NoError(t, bad.Put(schema.Item{Path: "/nacm/rule-list[name='rest']/rule[name='zone']/path", Value: "/exchanges/none"}))
 	require.ErrorContains(t, Check(nil, bad)[0], "names no node")
 
-	first := tree(t, "/nacm/rule-list[name='a']/rule[name='x']/action = permit\n/nacm/rule-list[name='a']/rule[name='y']/action = deny")
-	second := tree(t, "/nacm/rule-list[name='a']/rule[name='y']/action = deny\n/nacm/rule-list[name='a']/rule[name='x']/action = permit")
+	first := buildTree(t, "/nacm/rule-list[name='a']/rule[name='x']/action = permit\n/nacm/rule-list[name='a']/rule[name='y']/action = deny")
+	second := buildTree(t, "/nacm/rule-list[name='a']/rule[name='y']/action = deny\n/nacm/rule-list[name='a']/rule[name='x']/action = permit")
 	changes := schema.Diff(first, second)
 	require.NotEmpty(t, changes)
-	was := first.Items()
+	before := first.Items()
 	require.NoError(t, first.Patch(changes))
 	require.Equal(t, second.Items(), first.Items())
-	require.NoError(t, second.Patch(schema.Diff(second, tree(t, "/nacm/rule-list[name='a']/rule[name='x']/action = permit\n/nacm/rule-list[name='a']/rule[name='y']/action = deny"))))
-	require.Equal(t, was, second.Items())
+	require.NoError(t, second.Patch(schema.Diff(second, buildTree(t, "/nacm/rule-list[name='a']/rule[name='x']/action = permit\n/nacm/rule-list[name='a']/rule[name='y']/action = deny"))))
+	require.Equal(t, before, second.Items())
 }
