--- a/yang/yang.go
+++ b/yang/yang.go
@@ -1,9 +1,9 @@
-// Package yang holds the models of the management interface.
+// Package yang embeds the YANG modules of the management interface.
 package yang
 
 import "embed"
 
-// Files holds the text of all modules, each in the file NAME.yang.
+// Files contains all modules, each in the file NAME.yang.
 //
 //go:embed *.yang
 var Files embed.FS
@@ -13,7 +13,7 @@
 //go:embed brookmux.yang
 var Model string
 
-// The module as gNMI's Capabilities name it.
+// The module's name, organization and revision, as gNMI Capabilities returns them.
 const (
 	Module       = "brookmux"
 	Organization = "Malabar Vartha Services"
