--- a/internal/netconf/bench_test.go
+++ b/internal/netconf/bench_test.go
@@ -14,8 +14,8 @@
 	"brookmux/internal/transact"
 )
 
-// large is a configuration of so many exchanges and groups: four leaves each.
-func large(exchanges, groups int) string {
+// largeConfig returns a configuration with the given numbers of exchanges and circuit groups, four leaves each.
+func largeConfig(exchanges, groups int) string {
 	var b strings.Builder
 	b.WriteString(`<exchanges xmlns="urn:brookmux:exchanges">`)
 	for i := range exchanges {
@@ -33,28 +33,28 @@
 	return b.String()
 }
 
-// TestLargeEdit: ten thousand leaves in one edit are validated, committed, read back and taken away again.
+// TestLargeEdit checks that an edit of ten thousand leaves is validated, committed, read back and removed again.
 func TestLargeEdit(t *testing.T) {
-	l := newLab(t)
-	c := l.dial("1.1")
-	require.Equal(t, "<ok/>", c.ask(edit("candidate", "", large(250, 2250))))
-	require.Equal(t, "<ok/>", c.ask("<commit/>"))
-	got := c.ask("<get-config><source><running/></source></get-config>")
+	ts := newTestServer(t)
+	c := ts.dial("1.1")
+	require.Equal(t, "<ok/>", c.rpc(editConfigXML("candidate", "", largeConfig(250, 2250))))
+	require.Equal(t, "<ok/>", c.rpc("<commit/>"))
+	got := c.rpc("<get-config><source><running/></source></get-config>")
 	require.Equal(t, 2250, strings.Count(got, "<group>"))
-	require.Equal(t, "<data>"+large(250, 2250)+"</data>", reorder(got))
-	require.Equal(t, "<ok/>", c.ask(edit("running", "<default-operation>replace</default-operation>", wait("1"))))
-	require.Equal(t, "<data>"+wait("1")+"</data>", c.ask("<get-config><source><running/></source></get-config>"))
+	require.Equal(t, "<data>"+largeConfig(250, 2250)+"</data>", reorder(got))
+	require.Equal(t, "<ok/>", c.rpc(editConfigXML("running", "<default-operation>replace</default-operation>", maxWaitXML("1"))))
+	require.Equal(t, "<data>"+maxWaitXML("1")+"</data>", c.rpc("<get-config><source><running/></source></get-config>"))
 }
 
-// reorder puts leaves and top nodes in the order in which large writes them: by name is the server's.
+// reorder puts the leaves and the top-level nodes of a reply in the order of largeConfig. The server sorts them by name.
 func reorder(s string) string {
 	groups, exchanges, _ := strings.Cut(strings.TrimSuffix(strings.TrimPrefix(s, "<data>"), "</data>"), "<exchanges")
-	groups = swap(groups, "<reserve>2</reserve>", "<size>")
-	return "<data><exchanges" + swap(exchanges, "<planned-load>7.5</planned-load>", "<zone>east</zone>") + groups + "</data>"
+	groups = moveAfter(groups, "<reserve>2</reserve>", "<size>")
+	return "<data><exchanges" + moveAfter(exchanges, "<planned-load>7.5</planned-load>", "<zone>east</zone>") + groups + "</data>"
 }
 
-// swap moves each piece behind the element that follows it.
-func swap(s, piece, next string) string {
+// moveAfter moves each occurrence of piece behind the element next, which follows it.
+func moveAfter(s, piece, next string) string {
 	parts := strings.Split(s, piece)
 	for i := 1; i < len(parts); i++ {
 		end := strings.Index(parts[i], "</"+next[1:strings.IndexByte(next, '>')]+">")
@@ -64,57 +64,57 @@
 	return strings.Join(parts, "")
 }
 
-// benchLab is a lab whose journal is on disk.
-func benchLab(b *testing.B) *session {
-	l := newLab(&testing.T{})
-	j, _, err := journal.Open(vfs.Default, b.TempDir(), quiet)
+// newBenchSession returns a session of a server that keeps its journal on disk.
+func newBenchSession(b *testing.B) *session {
+	ts := newTestServer(&testing.T{})
+	j, _, err := journal.Open(vfs.Default, b.TempDir(), discardLog)
 	require.NoError(b, err)
 	b.Cleanup(func() { require.NoError(b, j.Close()) })
-	l.Owner, err = transact.New(transact.Config{Store: datastore.Config{Model: l.Model, Keep: 50, Sessions: 4}, Journal: j, Now: time.Now, Log: quiet})
+	ts.Owner, err = transact.New(transact.Config{Store: datastore.Config{Model: ts.Model, Keep: 50, Sessions: 4}, Journal: j, Now: time.Now, Log: discardLog})
 	require.NoError(b, err)
-	x := &session{server: l.Server, log: quiet}
-	require.NoError(b, l.Owner.Do(func(s *datastore.Store) (err error) { x.who, err = s.Open("op", "bench"); return err }))
-	return x
+	sess := &session{server: ts.Server, log: discardLog}
+	require.NoError(b, ts.Owner.Do(func(s *datastore.Store) (err error) { sess.dsSession, err = s.Open("op", "bench"); return err }))
+	return sess
 }
 
-// ok asks for an operation that has to be carried out.
-func (x *session) ok(b *testing.B, op string) {
-	if got := string(x.answer([]byte(`<rpc xmlns="` + base + `" message-id="7">` + op + `</rpc>`))); strings.Contains(got, "<rpc-error>") {
+// mustSucceed executes an operation and fails the benchmark if the reply has an error.
+func (sess *session) mustSucceed(b *testing.B, op string) {
+	if got := string(sess.handleMessage([]byte(`<rpc xmlns="` + baseNS + `" message-id="7">` + op + `</rpc>`))); strings.Contains(got, "<rpc-error>") {
 		b.Fatal(got)
 	}
 }
 
-// BenchmarkEdit measures an edit of the candidate, beside a running configuration of so many leaves.
+// BenchmarkEdit measures an edit of one and of a thousand leaves of the candidate, with a thousand leaves in running.
 func BenchmarkEdit(b *testing.B) {
 	for _, leaves := range []int{1, 1000} {
 		b.Run(fmt.Sprint(leaves), func(b *testing.B) {
-			x := benchLab(b)
-			x.ok(b, edit("running", "", large(50, 200)))
+			sess := newBenchSession(b)
+			sess.mustSucceed(b, editConfigXML("running", "", largeConfig(50, 200)))
 			for i := 0; b.Loop(); i++ {
 				if leaves == 1 {
-					x.ok(b, edit("candidate", "", wait(fmt.Sprint(i%1000))))
+					sess.mustSucceed(b, editConfigXML("candidate", "", maxWaitXML(fmt.Sprint(i%1000))))
 				} else {
-					x.ok(b, edit("candidate", "", large(50, 200)))
+					sess.mustSucceed(b, editConfigXML("candidate", "", largeConfig(50, 200)))
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkGet measures a read of the whole tree of a thousand leaves.
+// BenchmarkGet measures a get of the whole tree, with a thousand leaves in running.
 func BenchmarkGet(b *testing.B) {
-	x := benchLab(b)
-	x.ok(b, edit("running", "", large(50, 200)))
+	sess := newBenchSession(b)
+	sess.mustSucceed(b, editConfigXML("running", "", largeConfig(50, 200)))
 	for b.Loop() {
-		x.ok(b, "<get/>")
+		sess.mustSucceed(b, "<get/>")
 	}
 }
 
-// BenchmarkCommit measures transactions with the journal on disk, beside a thousand leaves.
+// BenchmarkCommit measures transactions with the journal on disk, with a thousand leaves in running.
 func BenchmarkCommit(b *testing.B) {
-	x := benchLab(b)
-	x.ok(b, edit("running", "", large(50, 200)))
+	sess := newBenchSession(b)
+	sess.mustSucceed(b, editConfigXML("running", "", largeConfig(50, 200)))
 	for i := 0; b.Loop(); i++ {
-		x.ok(b, edit("running", "", wait(fmt.Sprint(i%1000))))
+		sess.mustSucceed(b, editConfigXML("running", "", maxWaitXML(fmt.Sprint(i%1000))))
 	}
 }
--- a/internal/netconf/client.go
+++ b/internal/netconf/client.go
@@ -16,124 +16,126 @@
 	"brookmux/internal/schema"
 )
 
-// Client is one session with a server, for the command line.
+// Client is one NETCONF session with a server, used by the command line. It is not safe for concurrent use.
 type Client struct {
-	Model *schema.Model
-	conn  io.Closer
-	frame framer
-	n     int
+	Model  *schema.Model
+	conn   io.Closer
+	framer framer
+	lastID int // message-id of the last request
 }
 
-// Dial logs in and opens a session.
+// Dial connects to address, logs in and opens a session. The caller closes the Client.
 func Dial(address string, c *ssh.ClientConfig, m *schema.Model) (*Client, error) {
 	conn, err := ssh.Dial("tcp", address, c)
 	if err != nil {
 		return nil, fmt.Errorf("netconf: %w", err)
 	}
-	x, err := open(conn, m)
+	client, err := openSession(conn, m)
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("netconf: %w", err), conn.Close())
 	}
-	return x, nil
+	return client, nil
 }
 
-// open opens a session on a connection.
-func open(conn *ssh.Client, m *schema.Model) (*Client, error) {
-	s, err := conn.NewSession()
+// openSession starts the netconf subsystem on a connection and exchanges the hellos. It requires a server that supports
+// base:1.1.
+func openSession(conn *ssh.Client, m *schema.Model) (*Client, error) {
+	sshSession, err := conn.NewSession()
 	if err != nil {
 		return nil, err
 	}
-	in, err := s.StdinPipe()
+	in, err := sshSession.StdinPipe()
 	if err != nil {
 		return nil, err
 	}
-	out, err := s.StdoutPipe()
+	out, err := sshSession.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
-	if err := s.RequestSubsystem("netconf"); err != nil {
+	if err := sshSession.RequestSubsystem("netconf"); err != nil {
 		return nil, err
 	}
-	x := &Client{Model: m, conn: conn, frame: framer{r: bufio.NewReader(out), w: in}}
-	if err := x.frame.write([]byte(`<hello xmlns="` + base + `"><capabilities><capability>` + base11 + `</capability></capabilities></hello>`)); err != nil {
+	client := &Client{Model: m, conn: conn, framer: framer{r: bufio.NewReader(out), w: in}}
+	if err := client.framer.write([]byte(`<hello xmlns="` + baseNS + `"><capabilities><capability>` + base11 + `</capability></capabilities></hello>`)); err != nil {
 		return nil, err
 	}
-	hello, err := x.frame.read()
+	hello, err := client.framer.read()
 	if err != nil {
 		return nil, err
 	}
 	if !strings.Contains(string(hello), base11) {
-		return nil, errors.New("the server does not know version 1.1")
+		return nil, errors.New("the server does not support NETCONF 1.1")
 	}
-	x.frame.chunked = true
-	return x, nil
+	client.framer.chunked = true
+	return client, nil
 }
 
-// Close ends the session.
+// Close closes the connection, which ends the session.
 func (c *Client) Close() error { return c.conn.Close() }
 
-// Do carries out an operation, and returns the reply's data element, nil for ok. An error is what the server said.
+// Do executes an operation, given as XML, and returns the data element of the reply, or nil for ok. Errors in the reply
+// are returned joined, each with its tag, path and message. Notifications that arrive before the reply are dropped.
 func (c *Client) Do(op string) (*etree.Element, error) {
-	if err := c.ask(op); err != nil {
+	if err := c.sendRPC(op); err != nil {
 		return nil, err
 	}
 	for {
-		e, err := c.next()
+		e, err := c.readMessage()
 		if err != nil {
 			return nil, err
 		}
 		if e.Tag != "notification" {
-			return answer(e)
+			return parseReply(e)
 		}
 	}
 }
 
-// ask sends an operation.
-func (c *Client) ask(op string) error {
-	c.n++
-	if err := c.frame.write([]byte(fmt.Sprintf(`<rpc xmlns="%s" message-id="%d">%s</rpc>`, base, c.n, op))); err != nil {
+// sendRPC sends an operation in an rpc element with the next message-id.
+func (c *Client) sendRPC(op string) error {
+	c.lastID++
+	if err := c.framer.write([]byte(fmt.Sprintf(`<rpc xmlns="%s" message-id="%d">%s</rpc>`, baseNS, c.lastID, op))); err != nil {
 		return fmt.Errorf("netconf: %w", err)
 	}
 	return nil
 }
 
-// answer reads a reply.
-func answer(e *etree.Element) (*etree.Element, error) {
+// parseReply returns the data element of a reply, nil if there is none, or the errors of the reply, joined.
+func parseReply(e *etree.Element) (*etree.Element, error) {
 	var errs []error
-	for _, x := range e.ChildElements() {
-		switch x.Tag {
+	for _, child := range e.ChildElements() {
+		switch child.Tag {
 		case "rpc-error":
-			said := []string{text(x, "error-tag")}
+			parts := []string{childText(child, "error-tag")}
 			for _, name := range []string{"error-path", "error-message"} {
-				if t := text(x, name); t != "" {
-					said = append(said, t)
+				if t := childText(child, name); t != "" {
+					parts = append(parts, t)
 				}
 			}
-			errs = append(errs, errors.New(strings.Join(said, ": ")))
+			errs = append(errs, errors.New(strings.Join(parts, ": ")))
 		case "data":
-			return x, nil
+			return child, nil
 		}
 	}
 	return nil, errors.Join(errs...)
 }
 
-// next reads a message.
-func (c *Client) next() (*etree.Element, error) {
-	b, err := c.frame.read()
+// readMessage reads and parses the next message.
+func (c *Client) readMessage() (*etree.Element, error) {
+	b, err := c.framer.read()
 	if err != nil {
 		return nil, fmt.Errorf("netconf: %w", err)
 	}
-	e, err := parse(b)
+	e, err := parseXML(b)
 	if err != nil {
 		return nil, fmt.Errorf("netconf: %w", err)
 	}
 	return e, nil
 }
 
-// Config reads a datastore, or running with all state where state is set.
-func (c *Client) Config(t datastore.Target, state bool) (*schema.Node, error) {
-	op := "<get-config><source><" + string(t) + "/></source></get-config>"
-	if state {
+// Config reads the configuration in a datastore. With withState it reads running and all state data instead.
+func (c *Client) Config(source datastore.Target, withState bool) (*schema.Node, error) {
+	op := "<get-config><source><" + string(source) + "/></source></get-config>"
+	if withState {
 		op = "<get/>"
 	}
 	data, err := c.Do(op)
@@ -141,39 +143,40 @@
 		return nil, err
 	}
 	tree := c.Model.NewTree()
-	return tree, fill(tree, data)
+	return tree, fillTree(tree, data)
 }
 
-// fill puts what a data element holds in a tree, state too.
-func fill(n *schema.Node, e *etree.Element) error {
-	for _, x := range e.ChildElements() {
-		d := n.Def.Child(x.Tag)
-		if d == nil {
-			continue // of a model that is not known here
+// fillTree adds the contents of a data element, state included, below a node.
+func fillTree(parent *schema.Node, e *etree.Element) error {
+	for _, child := range e.ChildElements() {
+		def := parent.Def.Child(child.Tag)
+		if def == nil {
+			continue // from a module that this model does not have
 		}
 		var keys []string
-		if d.Leafy() {
-			v, err := d.Canonical(x.Text())
+		if def.Leafy() {
+			v, err := def.Canonical(child.Text())
 			if err != nil {
 				return err
 			}
 			keys = []string{v}
 		}
-		for _, k := range d.Keys {
-			keys = append(keys, text(x, k))
+		for _, k := range def.Keys {
+			keys = append(keys, childText(child, k))
 		}
-		c, err := n.Add(d, keys...)
+		node, err := parent.Add(def, keys...)
 		if err != nil && !errors.Is(err, schema.ErrExists) {
 			return err
 		}
-		if err := fill(c, x); err != nil {
+		if err := fillTree(node, child); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Edit changes the candidate: items are set, and what is at the paths to remove goes.
+// Edit changes the candidate in one request: it sets the items and deletes the nodes at the paths in remove. The result
+// is not validated.
 func (c *Client) Edit(set []schema.Item, remove []string) error {
 	var b bytes.Buffer
 	tree := c.Model.NewTree()
@@ -182,67 +185,68 @@
 			return err
 		}
 	}
-	writeTree(&b, tree, explicit)
+	writeChildren(&b, tree, explicit)
 	for _, p := range remove {
-		if err := removal(&b, c.Model, p); err != nil {
+		if err := writeDelete(&b, c.Model, p); err != nil {
 			return err
 		}
 	}
-	_, err := c.Do(`<edit-config><target><candidate/></target><test-option>set</test-option><config xmlns:nc="` + base + `">` +
+	_, err := c.Do(`<edit-config><target><candidate/></target><test-option>set</test-option><config xmlns:nc="` + baseNS + `">` +
 		b.String() + "</config></edit-config>")
 	return err
 }
 
-// removal writes the removal of what is at a path.
-func removal(b *bytes.Buffer, m *schema.Model, path string) error {
+// writeDelete appends an edit that deletes the node at a path.
+func writeDelete(b *bytes.Buffer, m *schema.Model, path string) error {
 	steps, err := schema.ParsePath(path)
 	if err != nil {
 		return err
 	}
-	at, end := m.Root, ""
-	for i, s := range steps {
-		if at = at.Child(s.Name); at == nil {
-			return fmt.Errorf("%s: no node %s in the model", path, s.Name)
+	def, endTags := m.Root, ""
+	for i, step := range steps {
+		if def = def.Child(step.Name); def == nil {
+			return fmt.Errorf("%s: no node %s in the model", path, step.Name)
 		}
-		b.WriteString("<" + s.Name + ` xmlns="` + at.Namespace + `"`)
+		b.WriteString("<" + step.Name + ` xmlns="` + def.Namespace + `"`)
 		if i == len(steps)-1 {
 			b.WriteString(` nc:operation="delete"`)
 		}
 		b.WriteString(">")
-		escape(b, s.Keys["."])
-		for _, k := range at.Keys {
-			element(b, k, s.Keys[k])
+		writeEscaped(b, step.Keys["."])
+		for _, k := range def.Keys {
+			writeElement(b, k, step.Keys[k])
 		}
-		end = "</" + s.Name + ">" + end
+		endTags = "</" + step.Name + ">" + endTags
 	}
-	b.WriteString(end)
+	b.WriteString(endTags)
 	return nil
 }
 
-// Watch subscribes to events, those that are kept since a time first (a zero one: none), and hands each on until the
-// session ends or f returns an error.
-func (c *Client) Watch(since time.Time, f func(at string, e *etree.Element) error) error {
+// Watch subscribes to notifications and calls handle with the eventTime and the content of each until the session ends
+// or handle returns an error, which it returns. If since is not zero, the server first replays the stored notifications
+// from that time on.
+func (c *Client) Watch(since time.Time, handle func(at string, e *etree.Element) error) error {
 	start := ""
 	if !since.IsZero() {
 		start = "<startTime>" + since.UTC().Format(time.RFC3339) + "</startTime>"
 	}
-	if err := c.ask(`<create-subscription xmlns="` + events + `">` + start + "</create-subscription>"); err != nil {
+	if err := c.sendRPC(`<create-subscription xmlns="` + notificationNS + `">` + start + "</create-subscription>"); err != nil {
 		return err
 	}
 	for {
-		e, err := c.next()
+		e, err := c.readMessage()
 		if err != nil {
 			return err
 		}
 		if e.Tag != "notification" {
-			if _, err := answer(e); err != nil {
+			if _, err := parseReply(e); err != nil {
 				return err
 			}
 			continue
 		}
-		for _, x := range e.ChildElements() {
-			if x.Tag != "eventTime" {
-				if err := f(text(e, "eventTime"), x); err != nil {
+		for _, child := range e.ChildElements() {
+			if child.Tag != "eventTime" {
+				if err := handle(childText(e, "eventTime"), child); err != nil {
 					return err
 				}
 			}
@@ -250,9 +254,9 @@
 	}
 }
 
-// Escape writes a text as XML has it.
+// Escape returns a text escaped for use in XML.
 func Escape(s string) string {
 	var b bytes.Buffer
-	escape(&b, s)
+	writeEscaped(&b, s)
 	return b.String()
 }
--- a/internal/netconf/frame.go
+++ b/internal/netconf/frame.go
@@ -1,6 +1,5 @@
-// Package netconf is a NETCONF server (RFC 6241) on the configuration's transactions: framing, sessions, operations
-// and their errors, over SSH (RFC 6242). It knows messages and XML; what is allowed and what becomes of it is decided
-// by packages datastore and schema.
+// Package netconf implements a NETCONF server (RFC 6241) over SSH (RFC 6242) and a client for the command line. It
+// handles framing, sessions, operations and their errors. Packages datastore and schema validate and apply the changes.
 package netconf
 
 import (
@@ -12,29 +11,31 @@
 	"strconv"
 )
 
-// Bounds of what a client may send before it is heard out.
+// Limits on the size of a message and of one chunk, in bytes. They bound the memory that a peer can make the reader use
+// before its message is complete.
 const (
-	mostMessage = 4 << 20
-	mostChunk   = 1 << 20
+	maxMessageSize = 4 << 20
+	maxChunkSize   = 1 << 20
 )
 
-// endOfMessage ends a message of version 1.0, and every hello (RFC 6242, 4.3).
+// endOfMessage terminates a message of version 1.0, and every hello (RFC 6242, 4.3).
 const endOfMessage = "]]>]]>"
 
-// Errors of framing: the connection can't be used after one.
+// Framing errors. The connection cannot be used after one.
 var (
-	errTooLong = fmt.Errorf("message is longer than %d bytes", mostMessage)
-	errFraming = errors.New("wrong framing")
+	errTooLong = fmt.Errorf("message is longer than %d bytes", maxMessageSize)
+	errFraming = errors.New("invalid framing")
 )
 
-// framer reads and writes messages.
+// framer reads and writes framed messages: with the end-of-message marker of version 1.0, or in the chunks of version
+// 1.1. It does no locking.
 type framer struct {
 	r       *bufio.Reader
 	w       io.Writer
-	chunked bool // since both ends have said that they know version 1.1
+	chunked bool // set once both peers have announced version 1.1
 }
 
-// read returns the next message.
+// read returns the next message. It returns io.EOF if the input ends between messages.
 func (f *framer) read() ([]byte, error) {
 	if f.chunked {
 		return f.readChunks()
@@ -43,7 +44,7 @@
 	for {
 		b, err := f.r.ReadSlice('>')
 		out = append(out, b...)
-		if len(out) > mostMessage+len(endOfMessage) {
+		if len(out) > maxMessageSize+len(endOfMessage) {
 			return nil, errTooLong
 		}
 		if text, ok := bytes.CutSuffix(out, []byte(endOfMessage)); ok {
@@ -58,7 +59,7 @@
 	}
 }
 
-// readChunks reads a message of version 1.1 (RFC 6242, 4.2).
+// readChunks reads a message with chunked framing (RFC 6242, 4.2).
 func (f *framer) readChunks() ([]byte, error) {
 	var out []byte
 	for first := true; ; first = false {
@@ -68,34 +69,34 @@
 			}
 			return nil, err
 		}
-		n, err := f.size()
+		n, err := f.readChunkSize()
 		if err != nil {
 			return nil, err
 		}
 		if n == 0 {
 			if first {
-				return nil, fmt.Errorf("%w: a message without a chunk", errFraming)
+				return nil, fmt.Errorf("%w: message without a chunk", errFraming)
 			}
 			return out, nil
 		}
-		if len(out)+n > mostMessage {
+		if len(out)+n > maxMessageSize {
 			return nil, errTooLong
 		}
-		from := len(out)
+		start := len(out)
 		out = append(out, make([]byte, n)...)
-		if _, err := io.ReadFull(f.r, out[from:]); err != nil {
-			return nil, unexpected(err)
+		if _, err := io.ReadFull(f.r, out[start:]); err != nil {
+			return nil, unexpectedEOF(err)
 		}
 	}
 }
 
-// expect reads what has to come next.
+// expect reads text and fails on any other input. It returns io.EOF if the input ends before the first byte.
 func (f *framer) expect(text string) error {
 	for i := range len(text) {
 		b, err := f.r.ReadByte()
 		if err != nil {
 			if i > 0 {
-				err = unexpected(err)
+				err = unexpectedEOF(err)
 			}
 			return err
 		}
@@ -106,14 +107,14 @@
 	return nil
 }
 
-// size reads a chunk's size and the line's end; 0 is the end of the chunks.
-func (f *framer) size() (int, error) {
+// readChunkSize reads the size of a chunk and the end of its line. 0 marks the end of the chunks.
+func (f *framer) readChunkSize() (int, error) {
 	var digits []byte
 	for {
 		b, err := f.r.ReadByte()
 		switch {
 		case err != nil:
-			return 0, unexpected(err)
+			return 0, unexpectedEOF(err)
 		case b == '\n' && string(digits) == "#":
 			return 0, nil
 		case b == '\n':
@@ -121,7 +122,7 @@
 			if err != nil || n < 1 || digits[0] == '0' || digits[0] == '+' {
 				return 0, fmt.Errorf("%w: chunk size %q", errFraming, digits)
 			}
-			if n > mostChunk {
+			if n > maxChunkSize {
 				return 0, errTooLong
 			}
 			return n, nil
@@ -132,21 +133,22 @@
 	}
 }
 
-func unexpected(err error) error {
+// unexpectedEOF turns io.EOF into io.ErrUnexpectedEOF, for input that ends within a message.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// write writes a message.
+// write writes a message with its framing, in one Write call.
 func (f *framer) write(message []byte) error {
 	out := make([]byte, 0, len(message)+32)
 	if !f.chunked {
 		out = append(append(out, message...), endOfMessage...)
 	} else {
 		for len(message) > 0 {
-			n := min(len(message), mostChunk)
+			n := min(len(message), maxChunkSize)
 			out = append(strconv.AppendInt(append(out, "\n#"...), int64(n), 10), '\n')
 			out = append(out, message[:n]...)
 			message = message[n:]
--- a/internal/netconf/message.go
+++ b/internal/netconf/message.go
@@ -15,20 +15,22 @@
 	"brookmux/internal/schema"
 )
 
-// Namespaces.
+// XML namespaces of the base protocol, of get-schema, of defaults (RFC 6243) and of the rollback operation.
 const (
-	base       = "urn:ietf:params:xml:ns:netconf:base:1.0"
-	monitoring = "urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring"
-	defaults   = "urn:ietf:params:xml:ns:yang:ietf-netconf-with-defaults"
-	history    = "urn:brookmux:transactions"
-	tagged     = "urn:ietf:params:xml:ns:netconf:default:1.0"
+	baseNS         = "urn:ietf:params:xml:ns:netconf:base:1.0"
+	monitoringNS   = "urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring"
+	withDefaultsNS = "urn:ietf:params:xml:ns:yang:ietf-netconf-with-defaults"
+	transactionsNS = "urn:brookmux:transactions"
+	defaultAttrNS  = "urn:ietf:params:xml:ns:netconf:default:1.0"
 )
 
-const mostDepth = 64
+// maxDepth is the maximum nesting depth of elements in a message.
+const maxDepth = 64
 
-// parse reads a message's XML. Document types, processing instructions beside the declaration, what is not UTF-8 and
-// what is nested too deeply are refused before a tree is made of it (RFC 6241, 3).
-func parse(message []byte) (*etree.Element, error) {
+// parseXML parses a message and returns its root element. Before it builds a tree, it rejects document types, processing
+// instructions other than the XML declaration, text that is not UTF-8 and elements nested deeper than maxDepth
+// (RFC 6241, 3).
+func parseXML(message []byte) (*etree.Element, error) {
 	if !utf8.Valid(message) {
 		return nil, errors.New("it is not UTF-8")
 	}
@@ -43,8 +45,8 @@
 		}
 		switch t := token.(type) {
 		case xml.StartElement:
-			if depth++; depth > mostDepth {
-				return nil, fmt.Errorf("it is nested more than %d deep", mostDepth)
+			if depth++; depth > maxDepth {
+				return nil, fmt.Errorf("it is nested more than %d deep", maxDepth)
 			}
 		case xml.EndElement:
 			depth--
@@ -67,262 +69,267 @@
 	return root, nil
 }
 
-// rpcError is an error as a reply has it (RFC 6241, 4.3 and appendix A).
+// rpcError is an rpc-error element of a reply (RFC 6241, 4.3 and appendix A).
 type rpcError struct {
-	kind    string // transport, rpc, protocol or application
-	tag     string
-	appTag  string
-	path    string
-	message string
-	info    [][2]string // elements of error-info
+	errorType string // transport, rpc, protocol or application
+	tag       string
+	appTag    string
+	path      string
+	message   string
+	info      [][2]string // names and texts of the elements of error-info
 }
 
 // Error implements error.
 func (e *rpcError) Error() string { return e.tag + ": " + e.message }
 
-// protocol returns an error of the protocol layer.
-func protocol(tag, message string, info ...[2]string) *rpcError {
-	return &rpcError{kind: "protocol", tag: tag, message: message, info: info}
+// protocolError returns an error of the protocol layer.
+func protocolError(tag, message string, info ...[2]string) *rpcError {
+	return &rpcError{errorType: "protocol", tag: tag, message: message, info: info}
 }
 
-// missing, unknown and bad name an element that is at fault.
-func missing(name string) *rpcError {
-	return protocol("missing-element", name+" is missing", [2]string{"bad-element", name})
+// missingElement, unknownElement and invalidValue return errors that name the faulty element in bad-element.
+func missingElement(name string) *rpcError {
+	return protocolError("missing-element", name+" is missing", [2]string{"bad-element", name})
 }
-func unknown(name string) *rpcError {
-	return protocol("unknown-element", name+" is not known here", [2]string{"bad-element", name})
+func unknownElement(name string) *rpcError {
+	return protocolError("unknown-element", name+" is not known here", [2]string{"bad-element", name})
 }
-func bad(name, why string) *rpcError {
-	return protocol("invalid-value", name+": "+why, [2]string{"bad-element", name})
+func invalidValue(name, reason string) *rpcError {
+	return protocolError("invalid-value", name+": "+reason, [2]string{"bad-element", name})
 }
 
-// rpcErrors turns what went wrong into the errors of a reply.
-func rpcErrors(err error) []*rpcError {
+// toRPCErrors converts an error into the rpc-error elements of a reply: one for each fault of a datastore.Error, or one
+// for any other error.
+func toRPCErrors(err error) []*rpcError {
 	if e := (*rpcError)(nil); errors.As(err, &e) {
 		return []*rpcError{e}
 	}
 	e := (*datastore.Error)(nil)
 	if !errors.As(err, &e) {
-		return []*rpcError{{kind: "application", tag: "operation-failed", message: err.Error()}}
+		return []*rpcError{{errorType: "application", tag: "operation-failed", message: err.Error()}}
 	}
 	out := make([]*rpcError, 0, len(e.Faults))
 	for _, f := range e.Faults {
-		x := &rpcError{kind: "application", tag: string(f.Tag), appTag: f.AppTag, path: f.Path, message: f.Message}
+		rpcErr := &rpcError{errorType: "application", tag: string(f.Tag), appTag: f.AppTag, path: f.Path, message: f.Message}
 		switch f.Tag {
 		case schema.LockDenied, schema.InUse:
-			if x.kind = "protocol"; f.Tag == schema.LockDenied {
-				x.info = append(x.info, [2]string{"session-id", fmt.Sprint(e.Holder)})
+			if rpcErr.errorType = "protocol"; f.Tag == schema.LockDenied {
+				rpcErr.info = append(rpcErr.info, [2]string{"session-id", fmt.Sprint(e.Holder)})
 			}
 		case schema.UnknownElement, schema.BadElement, schema.MissingElement:
 			name := f.Path[strings.LastIndexByte(f.Path, '/')+1:]
 			name, _, _ = strings.Cut(name, "[")
-			x.info = append(x.info, [2]string{"bad-element", name})
+			rpcErr.info = append(rpcErr.info, [2]string{"bad-element", name})
 		}
-		out = append(out, x)
+		out = append(out, rpcErr)
 	}
 	return out
 }
 
-// write appends an error's XML.
+// write appends the rpc-error element.
 func (e *rpcError) write(b *bytes.Buffer, m *schema.Model) {
 	b.WriteString("<rpc-error>")
-	element(b, "error-type", e.kind)
-	element(b, "error-tag", e.tag)
-	element(b, "error-severity", "error")
+	writeElement(b, "error-type", e.errorType)
+	writeElement(b, "error-tag", e.tag)
+	writeElement(b, "error-severity", "error")
 	if e.appTag != "" {
-		element(b, "error-app-tag", e.appTag)
+		writeElement(b, "error-app-tag", e.appTag)
 	}
 	if e.path != "" {
-		path, names := qualified(m, e.path)
-		b.WriteString("<error-path" + names + ">")
-		escape(b, path)
+		path, declarations := qualifyPath(m, e.path)
+		b.WriteString("<error-path" + declarations + ">")
+		writeEscaped(b, path)
 		b.WriteString("</error-path>")
 	}
 	if e.message != "" {
 		b.WriteString(`<error-message xml:lang="en">`)
-		escape(b, e.message)
+		writeEscaped(b, e.message)
 		b.WriteString("</error-message>")
 	}
 	if len(e.info) > 0 {
 		b.WriteString("<error-info>")
 		for _, i := range e.info {
-			element(b, i[0], i[1])
+			writeElement(b, i[0], i[1])
 		}
 		b.WriteString("</error-info>")
 	}
 	b.WriteString("</rpc-error>")
 }
 
-// element appends an element with a text.
-func element(b *bytes.Buffer, name, text string) {
+// writeElement appends an element that contains a text.
+func writeElement(b *bytes.Buffer, name, text string) {
 	b.WriteString("<" + name + ">")
-	escape(b, text)
+	writeEscaped(b, text)
 	b.WriteString("</" + name + ">")
 }
 
-func escape(b *bytes.Buffer, text string) {
-	_ = xml.EscapeText(b, []byte(text)) // a buffer takes everything
+// writeEscaped appends a text, escaped for XML.
+func writeEscaped(b *bytes.Buffer, text string) {
+	_ = xml.EscapeText(b, []byte(text)) // writing to a buffer never fails
 }
 
-// qualified writes a path with the prefixes of its modules, and the declarations of these.
-func qualified(m *schema.Model, path string) (out, names string) {
+// qualifyPath returns a path with the module prefix on each name, and the xmlns declarations of these prefixes. A path
+// that is not in the model is returned unchanged.
+func qualifyPath(m *schema.Model, path string) (qualified, declarations string) {
 	steps, err := schema.ParsePath(path)
 	if err != nil {
 		return path, ""
 	}
 	prefixes := map[string]string{}
-	for _, x := range m.Modules {
-		prefixes[x.Namespace] = x.Prefix
+	for _, mod := range m.Modules {
+		prefixes[mod.Namespace] = mod.Prefix
 	}
 	seen := map[string]bool{}
-	at := m.Root
+	def := m.Root
 	var b strings.Builder
-	for _, s := range steps {
-		if at = at.Child(s.Name); at == nil {
+	for _, step := range steps {
+		if def = def.Child(step.Name); def == nil {
 			return path, ""
 		}
-		p := prefixes[at.Namespace]
-		if !seen[p] {
-			seen[p] = true
-			names += " xmlns:" + p + `="` + at.Namespace + `"`
+		prefix := prefixes[def.Namespace]
+		if !seen[prefix] {
+			seen[prefix] = true
+			declarations += " xmlns:" + prefix + `="` + def.Namespace + `"`
 		}
-		b.WriteString("/" + p + ":" + s.Name)
-		for _, k := range at.Keys {
-			if v, ok := s.Keys[k]; ok {
-				b.WriteString("[" + p + ":" + k + "='" + strings.ReplaceAll(v, "'", "&apos;") + "']")
+		b.WriteString("/" + prefix + ":" + step.Name)
+		for _, k := range def.Keys {
+			if v, ok := step.Keys[k]; ok {
+				b.WriteString("[" + prefix + ":" + k + "='" + strings.ReplaceAll(v, "'", "&apos;") + "']")
 			}
 		}
-		if v, ok := s.Keys["."]; ok {
+		if v, ok := step.Keys["."]; ok {
 			b.WriteString("[.='" + strings.ReplaceAll(v, "'", "&apos;") + "']")
 		}
 	}
-	return b.String(), names
+	return b.String(), declarations
 }
 
-// configOf reads a whole configuration, as copy-config and validate have it: an edit that replaces all.
-func configOf(m *schema.Model, config *etree.Element) (*schema.Node, error) {
-	root, err := editOf(m, config, datastore.Merge)
+// parseConfig reads a complete configuration, as in copy-config and validate, as an edit of an empty tree.
+func parseConfig(m *schema.Model, config *etree.Element) (*schema.Node, error) {
+	root, err := parseEdit(m, config, datastore.Merge)
 	if err != nil {
 		return nil, err
 	}
 	return datastore.Edit{Root: root}.Tree(m)
 }
 
-// editOf reads the parts of a config element. Its own operation is the default one.
-func editOf(m *schema.Model, config *etree.Element, op datastore.Operation) (*datastore.Part, error) {
+// parseEdit reads a config element into the nodes of an edit. The root has the default operation op.
+func parseEdit(m *schema.Model, config *etree.Element, op datastore.Operation) (*datastore.Part, error) {
 	root := &datastore.Part{Def: m.Root, Op: op}
-	under := op
+	childOp := op
 	if op == datastore.Replace {
-		under = datastore.Merge // all that was there has gone
+		childOp = datastore.Merge // the root has replaced everything, so there is nothing left to replace below it
 	}
-	return root, children(root, config, under, "")
+	return root, parseChildren(root, config, childOp, "")
 }
 
-// children reads the parts under one.
-func children(p *datastore.Part, e *etree.Element, op datastore.Operation, path string) error {
-	for _, c := range e.ChildElements() {
-		d := p.Def.Child(c.Tag)
-		at := path + "/" + c.Tag
-		ns := c.NamespaceURI()
+// parseChildren reads the child elements of e and adds them to parent. op is the operation that they inherit, path the
+// path of e.
+func parseChildren(parent *datastore.Part, e *etree.Element, op datastore.Operation, path string) error {
+	for _, child := range e.ChildElements() {
+		def := parent.Def.Child(child.Tag)
+		childPath := path + "/" + child.Tag
+		ns := child.NamespaceURI()
 		switch {
-		case d == nil:
-			return &rpcError{kind: "application", tag: "unknown-element", path: path, message: at + " is not in the model",
-				info: [][2]string{{"bad-element", c.Tag}}}
-		case ns != d.Namespace:
-			return &rpcError{kind: "application", tag: "unknown-namespace", path: at, message: at + " is in the namespace " +
-				d.Namespace, info: [][2]string{{"bad-element", c.Tag}, {"bad-namespace", ns}}}
+		case def == nil:
+			return &rpcError{errorType: "application", tag: "unknown-element", path: path, message: childPath + " is not in the model",
+				info: [][2]string{{"bad-element", child.Tag}}}
+		case ns != def.Namespace:
+			return &rpcError{errorType: "application", tag: "unknown-namespace", path: childPath, message: childPath + " is in the namespace " +
+				def.Namespace, info: [][2]string{{"bad-element", child.Tag}, {"bad-namespace", ns}}}
 		}
-		x := &datastore.Part{Def: d, Op: op, Path: at}
-		if err := attributes(x, c); err != nil {
+		node := &datastore.Part{Def: def, Op: op, Path: childPath}
+		if err := parseOperation(node, child); err != nil {
 			return err
 		}
-		if p.Def.Kind == schema.List && d.IsKey() {
-			if x.Op != op {
-				return &rpcError{kind: "protocol", tag: "bad-attribute", path: at, message: "a key has no operation of its own",
-					info: [][2]string{{"bad-attribute", "operation"}, {"bad-element", c.Tag}}}
+		if parent.Def.Kind == schema.List && def.IsKey() {
+			if node.Op != op {
+				return &rpcError{errorType: "protocol", tag: "bad-attribute", path: childPath, message: "a key has no operation of its own",
+					info: [][2]string{{"bad-attribute", "operation"}, {"bad-element", child.Tag}}}
 			}
-			continue // it was read with its entry
+			continue // parseNode has read it with its list entry
 		}
-		if err := read(x, c, at); err != nil {
+		if err := parseNode(node, child, childPath); err != nil {
 			return err
 		}
-		p.Parts = append(p.Parts, x)
+		parent.Parts = append(parent.Parts, node)
 	}
 	return nil
 }
 
-// operations are the names of the edit operations (RFC 6241, 7.2).
-var operations = map[string]datastore.Operation{"merge": datastore.Merge, "replace": datastore.Replace,
+// editOperations maps the values of the operation attribute (RFC 6241, 7.2).
+var editOperations = map[string]datastore.Operation{"merge": datastore.Merge, "replace": datastore.Replace,
 	"create": datastore.Create, "delete": datastore.Delete, "remove": datastore.Remove}
 
-// attributes reads an element's operation.
-func attributes(x *datastore.Part, e *etree.Element) error {
+// parseOperation sets the operation of a node from the attributes of its element. Other attributes are errors.
+func parseOperation(node *datastore.Part, e *etree.Element) error {
 	for _, a := range e.Attr {
 		if a.Space == "xmlns" || a.Space == "" && a.Key == "xmlns" {
 			continue
 		}
-		op, ok := operations[a.Value]
+		op, ok := editOperations[a.Value]
 		switch {
-		case a.Key != "operation" || a.NamespaceURI() != base:
-			return &rpcError{kind: "protocol", tag: "unknown-attribute", path: x.Path, message: a.Key + " is not known here",
+		case a.Key != "operation" || a.NamespaceURI() != baseNS:
+			return &rpcError{errorType: "protocol", tag: "unknown-attribute", path: node.Path, message: a.Key + " is not known here",
 				info: [][2]string{{"bad-attribute", a.Key}, {"bad-element", e.Tag}}}
 		case !ok:
-			return &rpcError{kind: "protocol", tag: "bad-attribute", path: x.Path, message: a.Value + " is no operation",
+			return &rpcError{errorType: "protocol", tag: "bad-attribute", path: node.Path, message: a.Value + " is no operation",
 				info: [][2]string{{"bad-attribute", a.Key}, {"bad-element", e.Tag}}}
 		}
-		x.Op = op
+		node.Op = op
 	}
 	return nil
 }
 
-// read reads a part's keys, value and children.
-func read(x *datastore.Part, e *etree.Element, path string) error {
-	d := x.Def
-	gone := x.Op == datastore.Delete || x.Op == datastore.Remove
+// parseNode reads the keys, the value and the children of a node from its element, and completes its path with the keys.
+// The value of a leaf and the children of a node are not needed to delete or remove it.
+func parseNode(node *datastore.Part, e *etree.Element, path string) error {
+	d := node.Def
+	deleting := node.Op == datastore.Delete || node.Op == datastore.Remove
 	if d.Leafy() {
-		if kids := e.ChildElements(); len(kids) > 0 {
-			return &rpcError{kind: "application", tag: "unknown-element", path: path, message: d.Name + " has a value, not children",
-				info: [][2]string{{"bad-element", kids[0].Tag}}}
+		if elems := e.ChildElements(); len(elems) > 0 {
+			return &rpcError{errorType: "application", tag: "unknown-element", path: path, message: d.Name + " has a value, not children",
+				info: [][2]string{{"bad-element", elems[0].Tag}}}
 		}
 		v, err := d.Canonical(e.Text())
-		if err != nil && !(gone && d.Kind == schema.Leaf) {
-			return &rpcError{kind: "application", tag: "invalid-value", path: path, message: err.Error()}
+		if err != nil && !(deleting && d.Kind == schema.Leaf) {
+			return &rpcError{errorType: "application", tag: "invalid-value", path: path, message: err.Error()}
 		}
-		x.Value = v
+		node.Value = v
 		return nil
 	}
 	for _, c := range e.Child {
 		if t, ok := c.(*etree.CharData); ok && strings.TrimSpace(t.Data) != "" {
-			return &rpcError{kind: "application", tag: "bad-element", path: path, message: d.Name + " has children, not a text",
+			return &rpcError{errorType: "application", tag: "bad-element", path: path, message: d.Name + " has children, not a text",
 				info: [][2]string{{"bad-element", d.Name}}}
 		}
 	}
 	for _, k := range d.Keys {
-		c := only(e, k)
+		c := onlyChild(e, k)
 		if c == nil {
-			return &rpcError{kind: "application", tag: "missing-element", path: path, message: "the key " + k + " is missing, or there twice",
+			return &rpcError{errorType: "application", tag: "missing-element", path: path, message: "the key " + k + " is missing, or there twice",
 				info: [][2]string{{"bad-element", k}}}
 		}
 		v, err := d.Child(k).Canonical(c.Text())
 		if err != nil {
-			return &rpcError{kind: "application", tag: "invalid-value", path: path + "/" + k, message: err.Error()}
+			return &rpcError{errorType: "application", tag: "invalid-value", path: path + "/" + k, message: err.Error()}
 		}
-		x.Keys = append(x.Keys, v)
+		node.Keys = append(node.Keys, v)
 		path += "[" + k + "=" + schema.Quote(v) + "]"
 	}
-	x.Path = path
-	if gone {
+	node.Path = path
+	if deleting {
 		return nil
 	}
-	under := x.Op
-	if under == datastore.Create || under == datastore.Replace {
-		under = datastore.Merge // it is new
+	childOp := node.Op
+	if childOp == datastore.Create || childOp == datastore.Replace {
+		childOp = datastore.Merge // the node is new or emptied, so there is nothing left to create or replace below it
 	}
-	return children(x, e, under, path)
+	return parseChildren(node, e, childOp, path)
 }
 
-// only returns the one child of a name, or nil.
-func only(e *etree.Element, name string) *etree.Element {
+// onlyChild returns the child element with a name, or nil if there is none or more than one.
+func onlyChild(e *etree.Element, name string) *etree.Element {
 	var found *etree.Element
 	for _, c := range e.ChildElements() {
 		if c.Tag == name {
--- a/internal/netconf/notify.go
+++ b/internal/netconf/notify.go
@@ -14,147 +14,152 @@
 	"brookmux/internal/transact"
 )
 
-// Namespaces of events.
+// XML namespaces of notifications (RFC 5277) and of netconf-config-change (RFC 6470).
 const (
-	events  = "urn:ietf:params:xml:ns:netconf:notification:1.0"
-	changes = "urn:ietf:params:xml:ns:yang:ietf-netconf-notifications"
+	notificationNS = "urn:ietf:params:xml:ns:netconf:notification:1.0"
+	configChangeNS = "urn:ietf:params:xml:ns:yang:ietf-netconf-notifications"
 )
 
+// Limits of the event stream, in events and edits.
 const (
-	mostEvents  = 256 // kept for replay
-	mostWaiting = 64  // for one subscriber: one that reads too slowly is let go
-	mostEdits   = 64  // named in one netconf-config-change
+	maxKeptEvents   = 256 // stored for replay
+	maxQueuedEvents = 64  // queued for one subscriber; a slower subscriber is disconnected
+	maxListedEdits  = 64  // listed in one netconf-config-change
 )
 
-// event is a notification with its time.
+// event is a notification: its time and its content as XML.
 type event struct {
-	at           time.Time
-	module, name string // empty for those of the subscription itself
+	eventTime    time.Time
+	module, name string // for access control; empty for replayComplete and notificationComplete
 	body         []byte
 }
 
-// stream is the one event stream, NETCONF (RFC 5277, 3.2.3).
-type stream struct {
-	mu   sync.Mutex
-	kept []event
-	subs map[*session]chan event
+// eventStream is the only event stream, NETCONF (RFC 5277, 3.2.3). It is safe for concurrent use.
+type eventStream struct {
+	mu          sync.Mutex
+	replay      []event
+	subscribers map[*session]chan event
 }
 
-func newStream() *stream { return &stream{subs: map[*session]chan event{}} }
+// newEventStream returns a stream without events and subscribers.
+func newEventStream() *eventStream { return &eventStream{subscribers: map[*session]chan event{}} }
 
-// put hands an event to all that have subscribed, and keeps it for those to come.
-func (s *stream) put(e event) {
+// publish queues an event for each subscriber and stores it for replay. It never blocks: a subscriber whose queue is full
+// is disconnected.
+func (s *eventStream) publish(e event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.kept = append(s.kept, e); len(s.kept) > mostEvents {
-		s.kept = slices.Clone(s.kept[len(s.kept)-mostEvents:])
+	if s.replay = append(s.replay, e); len(s.replay) > maxKeptEvents {
+		s.replay = slices.Clone(s.replay[len(s.replay)-maxKeptEvents:])
 	}
-	for x, c := range s.subs {
+	for sess, c := range s.subscribers {
 		select {
 		case c <- e:
 		default:
-			x.log.Warn("netconf subscriber too slow")
+			sess.log.Warn("netconf subscriber too slow")
 			close(c)
-			delete(s.subs, x)
-			x.conn.Close()
+			delete(s.subscribers, sess)
+			sess.conn.Close()
 		}
 	}
 }
 
-// join subscribes a session and returns what is kept since a time.
-func (s *stream) join(x *session, since time.Time) (<-chan event, []event) {
+// subscribe registers a session and returns its queue, which is closed when the subscription ends, and the stored events
+// from start on. With a zero start it returns no stored events.
+func (s *eventStream) subscribe(sess *session, start time.Time) (<-chan event, []event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := make(chan event, mostWaiting)
-	s.subs[x] = c
-	var old []event
-	if !since.IsZero() {
-		for _, e := range s.kept {
-			if !e.at.Before(since) {
-				old = append(old, e)
+	c := make(chan event, maxQueuedEvents)
+	s.subscribers[sess] = c
+	var replayed []event
+	if !start.IsZero() {
+		for _, e := range s.replay {
+			if !e.eventTime.Before(start) {
+				replayed = append(replayed, e)
 			}
 		}
 	}
-	return c, old
+	return c, replayed
 }
 
-// leave ends a session's subscription.
-func (s *stream) leave(x *session) {
+// unsubscribe ends the subscription of a session, if it has one, and closes its queue.
+func (s *eventStream) unsubscribe(sess *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c, ok := s.subs[x]; ok {
+	if c, ok := s.subscribers[sess]; ok {
 		close(c)
-		delete(s.subs, x)
+		delete(s.subscribers, sess)
 	}
 }
 
-// subscribe starts notifications on a session (RFC 5277, 2.1.1).
-func (x *session) subscribe(op *etree.Element) ([]byte, error) {
-	if err := params(op, "stream", "filter", "startTime", "stopTime"); err != nil {
+// createSubscription handles create-subscription (RFC 5277, 2.1.1). Notifications are sent from another goroutine.
+func (sess *session) createSubscription(op *etree.Element) ([]byte, error) {
+	if err := checkParams(op, "stream", "filter", "startTime", "stopTime"); err != nil {
 		return nil, err
 	}
-	if name := text(op, "stream"); name != "" && name != "NETCONF" {
-		return nil, bad("stream", "there is no stream "+name)
+	if name := childText(op, "stream"); name != "" && name != "NETCONF" {
+		return nil, invalidValue("stream", "there is no stream "+name)
 	}
-	if only(op, "filter") != nil {
-		return nil, protocol("operation-not-supported", "filters on events are not supported", [2]string{"bad-element", "filter"})
+	if onlyChild(op, "filter") != nil {
+		return nil, protocolError("operation-not-supported", "filters on events are not supported", [2]string{"bad-element", "filter"})
 	}
-	if x.subbed {
-		return nil, protocol("in-use", "this session has a subscription")
+	if sess.subscribed {
+		return nil, protocolError("in-use", "this session has a subscription")
 	}
-	var since, until time.Time
-	for name, to := range map[string]*time.Time{"startTime": &since, "stopTime": &until} {
-		if v := text(op, name); v != "" {
+	var start, stop time.Time
+	for name, param := range map[string]*time.Time{"startTime": &start, "stopTime": &stop} {
+		if v := childText(op, name); v != "" {
 			t, err := time.Parse(time.RFC3339, v)
 			if err != nil {
-				return nil, bad(name, "a date and time is needed")
+				return nil, invalidValue(name, "a date and time is needed")
 			}
-			*to = t
+			*param = t
 		}
 	}
-	switch now := x.server.Now(); {
-	case since.After(now):
-		return nil, bad("startTime", "it lies ahead")
-	case !until.IsZero() && since.IsZero():
-		return nil, missing("startTime")
-	case !until.IsZero() && !until.After(since):
-		return nil, bad("stopTime", "it lies before startTime")
-	}
-	x.subbed = true
-	c, old := x.server.stream.join(x, since)
-	go x.notify(c, old, !since.IsZero(), until)
+	switch now := sess.server.Now(); {
+	case start.After(now):
+		return nil, invalidValue("startTime", "it lies ahead")
+	case !stop.IsZero() && start.IsZero():
+		return nil, missingElement("startTime")
+	case !stop.IsZero() && !stop.After(start):
+		return nil, invalidValue("stopTime", "it lies before startTime")
+	}
+	sess.subscribed = true
+	c, replayed := sess.server.stream.subscribe(sess, start)
+	go sess.sendEvents(c, replayed, !start.IsZero(), stop)
 	return nil, nil
 }
 
-// notify sends events until the subscription ends. The reply to the request may come after the first of them, which
-// RFC 5277 leaves open: each is a message of its own.
-func (x *session) notify(c <-chan event, old []event, replay bool, until time.Time) {
+// sendEvents sends the replayed events, then those of the queue, until the subscription ends or the time stop (if not
+// zero) is reached. Events that the user may not receive are skipped. The first notifications may be sent before the
+// reply to create-subscription, which RFC 5277 permits: each is a separate message.
+func (sess *session) sendEvents(c <-chan event, replayed []event, replay bool, stop time.Time) {
 	send := func(e event) bool {
-		if !until.IsZero() && e.at.After(until) {
+		if !stop.IsZero() && e.eventTime.After(stop) {
 			return false
 		}
-		if r := x.rules(); r != nil && e.name != "" && !r.Hear(x.who.User, e.module, e.name) {
+		if rules := sess.nacmRules(); rules != nil && e.name != "" && !rules.Hear(sess.dsSession.User, e.module, e.name) {
 			return true
 		}
-		if err := x.send(notification(e)); err != nil {
-			x.conn.Close()
+		if err := sess.send(notificationXML(e)); err != nil {
+			sess.conn.Close()
 			return false
 		}
 		return true
 	}
-	for _, e := range old {
+	for _, e := range replayed {
 		if !send(e) {
 			break
 		}
 	}
-	if replay && !send(event{at: x.server.Now(), body: []byte(`<replayComplete xmlns="urn:ietf:params:xml:ns:netmod:notification"/>`)}) {
+	if replay && !send(event{eventTime: sess.server.Now(), body: []byte(`<replayComplete xmlns="urn:ietf:params:xml:ns:netmod:notification"/>`)}) {
 		return
 	}
-	var end <-chan time.Time
-	if !until.IsZero() {
-		t := time.NewTimer(until.Sub(x.server.Now()))
+	var stopped <-chan time.Time
+	if !stop.IsZero() {
+		t := time.NewTimer(stop.Sub(sess.server.Now()))
 		defer t.Stop()
-		end = t.C
+		stopped = t.C
 	}
 	for {
 		select {
@@ -162,43 +167,43 @@
 			if !open || !send(e) {
 				return
 			}
-		case <-end:
-			x.server.stream.leave(x)
-			_ = x.send(notification(event{at: until, body: []byte(`<notificationComplete xmlns="urn:ietf:params:xml:ns:netmod:notification"/>`)}))
+		case <-stopped:
+			sess.server.stream.unsubscribe(sess)
+			_ = sess.send(notificationXML(event{eventTime: stop, body: []byte(`<notificationComplete xmlns="urn:ietf:params:xml:ns:netmod:notification"/>`)}))
 			return
 		}
 	}
 }
 
-// notification is an event as a message.
-func notification(e event) []byte {
-	return []byte(`<notification xmlns="` + events + `"><eventTime>` + e.at.UTC().Format(time.RFC3339Nano) + "</eventTime>" +
+// notificationXML returns an event as a notification message.
+func notificationXML(e event) []byte {
+	return []byte(`<notification xmlns="` + notificationNS + `"><eventTime>` + e.eventTime.UTC().Format(time.RFC3339Nano) + "</eventTime>" +
 		string(e.body) + "</notification>")
 }
 
-// change is a transaction as an event (RFC 6470, 2.1).
-func change(m *schema.Model, e transact.Event) []byte {
+// configChangeXML returns a transaction as a netconf-config-change (RFC 6470, 2.1).
+func configChangeXML(m *schema.Model, e transact.Event) []byte {
 	var b bytes.Buffer
-	b.WriteString(`<netconf-config-change xmlns="` + changes + `"><changed-by>`)
+	b.WriteString(`<netconf-config-change xmlns="` + configChangeNS + `"><changed-by>`)
 	if e.User == "" {
 		b.WriteString("<server/>")
 	} else {
-		element(&b, "username", e.User)
-		element(&b, "session-id", fmt.Sprint(e.Session))
+		writeElement(&b, "username", e.User)
+		writeElement(&b, "session-id", fmt.Sprint(e.Session))
 	}
 	b.WriteString("</changed-by>")
 	store := datastore.Running
 	if e.Kind == datastore.KindStartup {
 		store = datastore.Startup
 	}
-	element(&b, "datastore", string(store))
+	writeElement(&b, "datastore", string(store))
 	for i, c := range e.Changes {
-		if i == mostEdits {
-			break // the rest is found by a get-config
+		if i == maxListedEdits {
+			break // a client reads the remaining changes with get-config
 		}
-		path, names := qualified(m, c.Path)
-		b.WriteString("<edit><target" + names + ">")
-		escape(&b, path)
+		path, declarations := qualifyPath(m, c.Path)
+		b.WriteString("<edit><target" + declarations + ">")
+		writeEscaped(&b, path)
 		b.WriteString("</target>")
 		op := "replace"
 		if c.Old == nil {
@@ -206,7 +211,7 @@
 		} else if c.New == nil {
 			op = "delete"
 		}
-		element(&b, "operation", op)
+		writeElement(&b, "operation", op)
 		b.WriteString("</edit>")
 	}
 	b.WriteString("</netconf-config-change>")
--- a/internal/netconf/ops.go
+++ b/internal/netconf/ops.go
@@ -13,394 +13,412 @@
 	"brookmux/internal/schema"
 )
 
-// rpcs are the operations, by namespace and name. One that returns no body and no error is answered with ok.
-var rpcs map[string]func(*session, *etree.Element) ([]byte, error)
+// rpcHandlers maps a namespace and an operation name, separated by a space, to the handler. A handler returns the body of
+// the reply; a nil body without an error is answered with ok.
+var rpcHandlers map[string]func(*session, *etree.Element) ([]byte, error)
 
-func init() { // the operations need the table to be complete
-	rpcs = map[string]func(*session, *etree.Element) ([]byte, error){
-		base + " get":                   (*session).get,
-		base + " get-config":            (*session).getConfig,
-		base + " edit-config":           (*session).editConfig,
-		base + " copy-config":           (*session).copyConfig,
-		base + " delete-config":         (*session).deleteConfig,
-		base + " lock":                  (*session).lock,
-		base + " unlock":                (*session).unlock,
-		base + " commit":                (*session).commit,
-		base + " cancel-commit":         (*session).cancelCommit,
-		base + " discard-changes":       (*session).discard,
-		base + " validate":              (*session).validate,
-		base + " close-session":         (*session).closeSession,
-		base + " kill-session":          (*session).killSession,
-		monitoring + " get-schema":      (*session).getSchema,
-		events + " create-subscription": (*session).subscribe,
-		history + " rollback":           (*session).rollback,
+func init() { // set here because the operations need the complete map
+	rpcHandlers = map[string]func(*session, *etree.Element) ([]byte, error){
+		baseNS + " get":                         (*session).get,
+		baseNS + " get-config":                  (*session).getConfig,
+		baseNS + " edit-config":                 (*session).editConfig,
+		baseNS + " copy-config":                 (*session).copyConfig,
+		baseNS + " delete-config":               (*session).deleteConfig,
+		baseNS + " lock":                        (*session).lock,
+		baseNS + " unlock":                      (*session).unlock,
+		baseNS + " commit":                      (*session).commit,
+		baseNS + " cancel-commit":               (*session).cancelCommit,
+		baseNS + " discard-changes":             (*session).discardChanges,
+		baseNS + " validate":                    (*session).validate,
+		baseNS + " close-session":               (*session).closeSession,
+		baseNS + " kill-session":                (*session).killSession,
+		monitoringNS + " get-schema":            (*session).getSchema,
+		notificationNS + " create-subscription": (*session).createSubscription,
+		transactionsNS + " rollback":            (*session).rollback,
 	}
 }
 
-// target reads the datastore that a parameter names.
-func target(op *etree.Element, name string) (datastore.Target, error) {
-	e := only(op, name)
+// datastoreParam returns the datastore named by a parameter such as target or source.
+func datastoreParam(op *etree.Element, name string) (datastore.Target, error) {
+	e := onlyChild(op, name)
 	if e == nil {
-		return "", missing(name)
+		return "", missingElement(name)
 	}
-	kids := e.ChildElements()
-	if len(kids) != 1 {
-		return "", bad(name, "one datastore is needed")
+	elems := e.ChildElements()
+	if len(elems) != 1 {
+		return "", invalidValue(name, "one datastore is needed")
 	}
-	switch t := datastore.Target(kids[0].Tag); t {
+	switch t := datastore.Target(elems[0].Tag); t {
 	case datastore.Running, datastore.Candidate, datastore.Startup:
 		return t, nil
 	case "url":
-		return "", protocol("operation-not-supported", "url is not supported", [2]string{"bad-element", "url"})
+		return "", protocolError("operation-not-supported", "url is not supported", [2]string{"bad-element", "url"})
 	}
-	return "", unknown(kids[0].Tag)
+	return "", unknownElement(elems[0].Tag)
 }
 
-// params refuses parameters that are not known.
-func params(op *etree.Element, names ...string) error {
+// checkParams returns an error for the first parameter of an operation that is not in names.
+func checkParams(op *etree.Element, names ...string) error {
 	for _, c := range op.ChildElements() {
 		ok := false
 		for _, n := range names {
 			ok = ok || c.Tag == n
 		}
 		if !ok {
-			return unknown(c.Tag)
+			return unknownElement(c.Tag)
 		}
 	}
 	return nil
 }
 
-// choice reads a parameter that is one of a list of words.
-func choice[T any](op *etree.Element, name string, usual T, words map[string]T) (T, error) {
-	e := only(op, name)
+// enumParam returns the value of a parameter that has a fixed set of words, or defaultValue if the parameter is absent.
+func enumParam[T any](op *etree.Element, name string, defaultValue T, values map[string]T) (T, error) {
+	e := onlyChild(op, name)
 	if e == nil {
-		return usual, nil
+		return defaultValue, nil
 	}
-	v, ok := words[strings.TrimSpace(e.Text())]
+	v, ok := values[strings.TrimSpace(e.Text())]
 	if !ok {
-		return usual, bad(name, strconv.Quote(e.Text())+" is not one of its values")
+		return defaultValue, invalidValue(name, strconv.Quote(e.Text())+" is not one of its values")
 	}
 	return v, nil
 }
 
-var modes = map[string]mode{"explicit": explicit, "report-all": reportAll, "trim": trim, "report-all-tagged": tagAll}
+// defaultsModes maps the values of with-defaults.
+var defaultsModes = map[string]defaultsMode{"explicit": explicit, "report-all": reportAll, "trim": trim, "report-all-tagged": reportAllTagged}
 
-// data writes a tree as a request wants it.
-func (x *session) data(op *etree.Element, tree *schema.Node) ([]byte, error) {
-	m, err := choice(op, "with-defaults", explicit, modes)
+// dataReply returns a tree as a data element, with the request's with-defaults mode and filter applied and without what
+// the user may not read. It may change the tree.
+func (sess *session) dataReply(op *etree.Element, tree *schema.Node) ([]byte, error) {
+	mode, err := enumParam(op, "with-defaults", explicit, defaultsModes)
 	if err != nil {
 		return nil, err
 	}
-	tree = m.shown(tree)
-	if r := x.rules(); r != nil {
-		r.Shown(x.who.User, tree)
+	tree = mode.apply(tree)
+	if rules := sess.nacmRules(); rules != nil {
+		rules.Shown(sess.dsSession.User, tree)
 	}
-	tree, err = filtered(tree, only(op, "filter"))
+	tree, err = applyFilter(tree, onlyChild(op, "filter"))
 	if err != nil {
 		return nil, err
 	}
 	var b bytes.Buffer
 	b.WriteString("<data>")
-	writeTree(&b, tree, m)
+	writeChildren(&b, tree, mode)
 	b.WriteString("</data>")
 	return b.Bytes(), nil
 }
 
-// read returns a copy of a datastore.
-func (x *session) read(t datastore.Target) (tree *schema.Node, err error) {
-	err = x.server.Owner.Do(func(s *datastore.Store) error {
+// readDatastore returns a copy of the configuration in a datastore.
+func (sess *session) readDatastore(t datastore.Target) (tree *schema.Node, err error) {
+	err = sess.server.Owner.Do(func(s *datastore.Store) error {
 		tree, err = s.Get(t)
 		return err
 	})
 	return tree, err
 }
 
-func (x *session) get(op *etree.Element) ([]byte, error) {
-	if err := params(op, "filter", "with-defaults"); err != nil {
+// get handles get: running, the YANG library, the transaction history and the state data.
+func (sess *session) get(op *etree.Element) ([]byte, error) {
+	if err := checkParams(op, "filter", "with-defaults"); err != nil {
 		return nil, err
 	}
-	tree, err := x.read(datastore.Running)
+	tree, err := sess.readDatastore(datastore.Running)
 	if err != nil {
 		return nil, err
 	}
-	library(tree, x.server.Model)
-	x.server.Owner.Look(func(s *datastore.Store) { s.Tell(tree) })
-	if x.server.State != nil {
-		x.server.State(tree)
+	addYANGLibrary(tree, sess.server.Model)
+	sess.server.Owner.Look(func(s *datastore.Store) { s.Tell(tree) })
+	if sess.server.State != nil {
+		sess.server.State(tree)
 	}
-	return x.data(op, tree)
+	return sess.dataReply(op, tree)
 }
 
-func (x *session) getConfig(op *etree.Element) ([]byte, error) {
-	if err := params(op, "source", "filter", "with-defaults"); err != nil {
+// getConfig handles get-config.
+func (sess *session) getConfig(op *etree.Element) ([]byte, error) {
+	if err := checkParams(op, "source", "filter", "with-defaults"); err != nil {
 		return nil, err
 	}
-	t, err := target(op, "source")
+	t, err := datastoreParam(op, "source")
 	if err != nil {
 		return nil, err
 	}
-	tree, err := x.read(t)
+	tree, err := sess.readDatastore(t)
 	if err != nil {
 		return nil, err
 	}
-	return x.data(op, tree)
+	return sess.dataReply(op, tree)
 }
 
-func (x *session) editConfig(op *etree.Element) ([]byte, error) {
-	if err := params(op, "target", "default-operation", "test-option", "error-option", "config"); err != nil {
+// editConfig handles edit-config. An edit of running is one transaction.
+func (sess *session) editConfig(op *etree.Element) ([]byte, error) {
+	if err := checkParams(op, "target", "default-operation", "test-option", "error-option", "config"); err != nil {
 		return nil, err
 	}
-	t, err := target(op, "target")
+	t, err := datastoreParam(op, "target")
 	if err != nil {
 		return nil, err
 	}
-	def, err := choice(op, "default-operation", datastore.Merge, map[string]datastore.Operation{"merge": datastore.Merge,
+	defaultOp, err := enumParam(op, "default-operation", datastore.Merge, map[string]datastore.Operation{"merge": datastore.Merge,
 		"replace": datastore.Replace, "none": datastore.None})
 	if err != nil {
 		return nil, err
 	}
-	var e datastore.Edit
-	if e.Test, err = choice(op, "test-option", datastore.TestThenSet, map[string]datastore.TestOption{
+	var edit datastore.Edit
+	if edit.Test, err = enumParam(op, "test-option", datastore.TestThenSet, map[string]datastore.TestOption{
 		"test-then-set": datastore.TestThenSet, "set": datastore.Set, "test-only": datastore.TestOnly}); err != nil {
 		return nil, err
 	}
-	if e.OnError, err = choice(op, "error-option", datastore.StopOnError, map[string]datastore.ErrorOption{
+	if edit.OnError, err = enumParam(op, "error-option", datastore.StopOnError, map[string]datastore.ErrorOption{
 		"stop-on-error": datastore.StopOnError, "continue-on-error": datastore.ContinueOnError,
 		"rollback-on-error": datastore.RollbackOnError}); err != nil {
 		return nil, err
 	}
-	config := only(op, "config")
+	config := onlyChild(op, "config")
 	if config == nil {
-		return nil, missing("config")
+		return nil, missingElement("config")
 	}
-	if e.Root, err = editOf(x.server.Model, config, def); err != nil {
+	if edit.Root, err = parseEdit(sess.server.Model, config, defaultOp); err != nil {
 		return nil, err
 	}
 	switch {
 	case t == datastore.Candidate:
-		return nil, x.server.Owner.Do(func(s *datastore.Store) error { return s.Edit(x.who.ID, e) })
+		return nil, sess.server.Owner.Do(func(s *datastore.Store) error { return s.Edit(sess.dsSession.ID, edit) })
 	case t == datastore.Startup:
-		return nil, protocol("operation-not-supported", "startup is changed by copy-config and delete-config")
-	case e.Test == datastore.TestOnly:
-		return nil, x.server.Owner.Do(func(s *datastore.Store) error { return s.Try(x.who.ID, e) })
+		return nil, protocolError("operation-not-supported", "startup is changed by copy-config and delete-config")
+	case edit.Test == datastore.TestOnly:
+		return nil, sess.server.Owner.Do(func(s *datastore.Store) error { return s.Try(sess.dsSession.ID, edit) })
 	}
-	return nil, x.make(func(s *datastore.Store, at time.Time) (*datastore.Txn, error) {
-		return s.Change(x.who.ID, e, datastore.Commit{}, at)
+	return nil, sess.execute(func(s *datastore.Store, at time.Time) (*datastore.Txn, error) {
+		return s.Change(sess.dsSession.ID, edit, datastore.Commit{}, at)
 	})
 }
 
-// make carries out a transaction.
-func (x *session) make(f func(*datastore.Store, time.Time) (*datastore.Txn, error)) error {
-	_, err := x.server.Owner.Make(f)
+// execute runs the transaction that begin returns. When it returns nil, the transaction is durable and in force.
+func (sess *session) execute(begin func(*datastore.Store, time.Time) (*datastore.Txn, error)) error {
+	_, err := sess.server.Owner.Make(begin)
 	return err
 }
 
-// source reads the configuration that a parameter names or holds.
-func (x *session) source(op *etree.Element) (*schema.Node, error) {
-	e := only(op, "source")
+// sourceConfig returns the configuration given by the source parameter: inline, or a copy of a datastore without what the
+// user may not read.
+func (sess *session) sourceConfig(op *etree.Element) (*schema.Node, error) {
+	e := onlyChild(op, "source")
 	if e == nil {
-		return nil, missing("source")
+		return nil, missingElement("source")
 	}
-	if config := only(e, "config"); config != nil {
-		return configOf(x.server.Model, config)
+	if config := onlyChild(e, "config"); config != nil {
+		return parseConfig(sess.server.Model, config)
 	}
-	t, err := target(op, "source")
+	t, err := datastoreParam(op, "source")
 	if err != nil {
 		return nil, err
 	}
-	tree, err := x.read(t)
-	if r := x.rules(); r != nil && err == nil {
-		r.Shown(x.who.User, tree) // what may not be read is not copied (RFC 8341, 3.2.4)
+	tree, err := sess.readDatastore(t)
+	if rules := sess.nacmRules(); rules != nil && err == nil {
+		rules.Shown(sess.dsSession.User, tree) // copy-config omits nodes that the user may not read (RFC 8341, 3.2.4)
 	}
 	return tree, err
 }
 
-func (x *session) copyConfig(op *etree.Element) ([]byte, error) {
-	if err := params(op, "target", "source", "with-defaults"); err != nil {
+// copyConfig handles copy-config.
+func (sess *session) copyConfig(op *etree.Element) ([]byte, error) {
+	if err := checkParams(op, "target", "source", "with-defaults"); err != nil {
 		return nil, err
 	}
-	t, err := target(op, "target")
+	t, err := datastoreParam(op, "target")
 	if err != nil {
 		return nil, err
 	}
-	if from, err := target(op, "source"); err == nil && from == t {
-		return nil, bad("target", "source and target are the same")
+	if source, err := datastoreParam(op, "source"); err == nil && source == t {
+		return nil, invalidValue("target", "source and target are the same")
 	}
-	tree, err := x.source(op)
+	tree, err := sess.sourceConfig(op)
 	if err != nil {
 		return nil, err
 	}
 	if t == datastore.Candidate {
-		return nil, x.server.Owner.Do(func(s *datastore.Store) error { return s.Replace(x.who.ID, tree) })
+		return nil, sess.server.Owner.Do(func(s *datastore.Store) error { return s.Replace(sess.dsSession.ID, tree) })
 	}
-	return nil, x.make(func(s *datastore.Store, at time.Time) (*datastore.Txn, error) {
-		return s.Copy(x.who.ID, t, tree, at)
+	return nil, sess.execute(func(s *datastore.Store, at time.Time) (*datastore.Txn, error) {
+		return s.Copy(sess.dsSession.ID, t, tree, at)
 	})
 }
 
-func (x *session) deleteConfig(op *etree.Element) ([]byte, error) {
-	if err := params(op, "target"); err != nil {
+// deleteConfig handles delete-config, which is allowed for startup only.
+func (sess *session) deleteConfig(op *etree.Element) ([]byte, error) {
+	if err := checkParams(op, "target"); err != nil {
 		return nil, err
 	}
-	t, err := target(op, "target")
+	t, err := datastoreParam(op, "target")
 	if err != nil {
 		return nil, err
 	}
 	if t != datastore.Startup {
-		return nil, bad("target", "only startup can be deleted")
+		return nil, invalidValue("target", "only startup can be deleted")
 	}
-	return nil, x.make(func(s *datastore.Store, at time.Time) (*datastore.Txn, error) {
-		return s.Copy(x.who.ID, t, x.server.Model.NewTree(), at)
+	return nil, sess.execute(func(s *datastore.Store, at time.Time) (*datastore.Txn, error) {
+		return s.Copy(sess.dsSession.ID, t, sess.server.Model.NewTree(), at)
 	})
 }
 
-func (x *session) lock(op *etree.Element) ([]byte, error) {
-	return nil, x.locks(op, (*datastore.Store).Lock)
+func (sess *session) lock(op *etree.Element) ([]byte, error) {
+	return nil, sess.changeLock(op, (*datastore.Store).Lock)
 }
 
-func (x *session) unlock(op *etree.Element) ([]byte, error) {
-	return nil, x.locks(op, (*datastore.Store).Unlock)
+func (sess *session) unlock(op *etree.Element) ([]byte, error) {
+	return nil, sess.changeLock(op, (*datastore.Store).Unlock)
 }
 
-func (x *session) locks(op *etree.Element, f func(*datastore.Store, datastore.SessionID, datastore.Target) error) error {
-	if err := params(op, "target"); err != nil {
+// changeLock applies change, Lock or Unlock, to the datastore in the target parameter.
+func (sess *session) changeLock(op *etree.Element, change func(*datastore.Store, datastore.SessionID, datastore.Target) error) error {
+	if err := checkParams(op, "target"); err != nil {
 		return err
 	}
-	t, err := target(op, "target")
+	t, err := datastoreParam(op, "target")
 	if err != nil {
 		return err
 	}
-	return x.server.Owner.Do(func(s *datastore.Store) error { return f(s, x.who.ID, t) })
+	return sess.server.Owner.Do(func(s *datastore.Store) error { return change(s, sess.dsSession.ID, t) })
 }
 
-func (x *session) commit(op *etree.Element) ([]byte, error) {
-	if err := params(op, "confirmed", "confirm-timeout", "persist", "persist-id"); err != nil {
+// commit handles commit, confirmed commits and their confirmation.
+func (sess *session) commit(op *etree.Element) ([]byte, error) {
+	if err := checkParams(op, "confirmed", "confirm-timeout", "persist", "persist-id"); err != nil {
 		return nil, err
 	}
-	c := datastore.Commit{Confirmed: only(op, "confirmed") != nil, Persist: text(op, "persist"), PersistID: text(op, "persist-id")}
-	if e := only(op, "confirm-timeout"); e != nil {
+	c := datastore.Commit{Confirmed: onlyChild(op, "confirmed") != nil, Persist: childText(op, "persist"), PersistID: childText(op, "persist-id")}
+	if e := onlyChild(op, "confirm-timeout"); e != nil {
 		n, err := strconv.ParseUint(strings.TrimSpace(e.Text()), 10, 32)
 		if err != nil || n == 0 {
-			return nil, bad("confirm-timeout", "a number of seconds is needed")
+			return nil, invalidValue("confirm-timeout", "a number of seconds is needed")
 		}
 		c.Timeout = time.Duration(n) * time.Second
 	}
 	if !c.Confirmed && (c.Persist != "" || c.Timeout > 0) {
-		return nil, bad("commit", "persist and confirm-timeout are for a confirmed commit")
+		return nil, invalidValue("commit", "persist and confirm-timeout are for a confirmed commit")
 	}
-	return nil, x.make(func(s *datastore.Store, at time.Time) (*datastore.Txn, error) { return s.Commit(x.who.ID, c, at) })
+	return nil, sess.execute(func(s *datastore.Store, at time.Time) (*datastore.Txn, error) {
+		return s.Commit(sess.dsSession.ID, c, at)
+	})
 }
 
-// text is a parameter's text, or empty.
-func text(op *etree.Element, name string) string {
-	if e := only(op, name); e != nil {
+// childText returns the trimmed text of a child element, or "" if there is not exactly one of the name.
+func childText(op *etree.Element, name string) string {
+	if e := onlyChild(op, name); e != nil {
 		return strings.TrimSpace(e.Text())
 	}
 	return ""
 }
 
-func (x *session) cancelCommit(op *etree.Element) ([]byte, error) {
-	if err := params(op, "persist-id"); err != nil {
+// cancelCommit handles cancel-commit, which reverts a confirmed commit.
+func (sess *session) cancelCommit(op *etree.Element) ([]byte, error) {
+	if err := checkParams(op, "persist-id"); err != nil {
 		return nil, err
 	}
-	return nil, x.make(func(s *datastore.Store, at time.Time) (*datastore.Txn, error) {
-		return s.Cancel(x.who.ID, text(op, "persist-id"), at)
+	return nil, sess.execute(func(s *datastore.Store, at time.Time) (*datastore.Txn, error) {
+		return s.Cancel(sess.dsSession.ID, childText(op, "persist-id"), at)
 	})
 }
 
-func (x *session) discard(op *etree.Element) ([]byte, error) {
-	if err := params(op); err != nil {
+// discardChanges handles discard-changes.
+func (sess *session) discardChanges(op *etree.Element) ([]byte, error) {
+	if err := checkParams(op); err != nil {
 		return nil, err
 	}
-	return nil, x.server.Owner.Do(func(s *datastore.Store) error { return s.Discard(x.who.ID) })
+	return nil, sess.server.Owner.Do(func(s *datastore.Store) error { return s.Discard(sess.dsSession.ID) })
 }
 
-func (x *session) validate(op *etree.Element) ([]byte, error) {
-	if err := params(op, "source"); err != nil {
+// validate handles validate.
+func (sess *session) validate(op *etree.Element) ([]byte, error) {
+	if err := checkParams(op, "source"); err != nil {
 		return nil, err
 	}
-	tree, err := x.source(op)
+	tree, err := sess.sourceConfig(op)
 	if err != nil {
 		return nil, err
 	}
-	return nil, x.server.Owner.Do(func(s *datastore.Store) error { return s.Check(tree) })
+	return nil, sess.server.Owner.Do(func(s *datastore.Store) error { return s.Check(tree) })
 }
 
-func (x *session) closeSession(op *etree.Element) ([]byte, error) {
-	if err := params(op); err != nil {
+// closeSession handles close-session. The session ends once the reply is sent.
+func (sess *session) closeSession(op *etree.Element) ([]byte, error) {
+	if err := checkParams(op); err != nil {
 		return nil, err
 	}
-	x.ending = true
+	sess.closing = true
 	return nil, nil
 }
 
-func (x *session) killSession(op *etree.Element) ([]byte, error) {
-	if err := params(op, "session-id"); err != nil {
+// killSession handles kill-session.
+func (sess *session) killSession(op *etree.Element) ([]byte, error) {
+	if err := checkParams(op, "session-id"); err != nil {
 		return nil, err
 	}
-	n, err := strconv.ParseUint(text(op, "session-id"), 10, 32)
+	n, err := strconv.ParseUint(childText(op, "session-id"), 10, 32)
 	id := datastore.SessionID(n)
-	if err != nil || id == x.who.ID {
-		return nil, bad("session-id", "the number of another session is needed")
+	if err != nil || id == sess.dsSession.ID {
+		return nil, invalidValue("session-id", "the number of another session is needed")
 	}
-	x.server.mu.Lock()
-	other := x.server.live[id]
-	x.server.mu.Unlock()
+	sess.server.mu.Lock()
+	other := sess.server.sessions[id]
+	sess.server.mu.Unlock()
 	if other == nil {
-		return nil, bad("session-id", fmt.Sprintf("no session %d is open", n))
+		return nil, invalidValue("session-id", fmt.Sprintf("no session %d is open", n))
 	}
 	other.conn.Close()
-	x.server.Owner.Close(id) // its locks are free when this is answered
+	sess.server.Owner.Close(id) // releases its locks before the reply is sent
 	return nil, nil
 }
 
-// rollback puts an earlier revision in force again (module brookmux-transactions).
-func (x *session) rollback(op *etree.Element) ([]byte, error) {
-	if err := params(op, "revision", "comment"); err != nil {
+// rollback handles rollback (module brookmux-transactions), which restores an earlier revision in running.
+func (sess *session) rollback(op *etree.Element) ([]byte, error) {
+	if err := checkParams(op, "revision", "comment"); err != nil {
 		return nil, err
 	}
-	n, err := strconv.ParseUint(text(op, "revision"), 10, 64)
+	n, err := strconv.ParseUint(childText(op, "revision"), 10, 64)
 	if err != nil {
-		return nil, bad("revision", "the number of a revision is needed")
+		return nil, invalidValue("revision", "the number of a revision is needed")
 	}
-	return nil, x.make(func(s *datastore.Store, at time.Time) (*datastore.Txn, error) {
-		return s.Rollback(x.who.ID, n, at, text(op, "comment"))
+	return nil, sess.execute(func(s *datastore.Store, at time.Time) (*datastore.Txn, error) {
+		return s.Rollback(sess.dsSession.ID, n, at, childText(op, "comment"))
 	})
 }
 
-// library adds the modules to a tree (RFC 8525).
-func library(tree *schema.Node, m *schema.Model) {
-	const at = "/yang-library/"
-	items := []schema.Item{{Path: at + "content-id", Value: m.ID}, {Path: at + "schema[name='all']/module-set[.='all']", Value: "all"}}
-	for _, x := range m.Modules {
-		module := at + "module-set[name='all']/module[name=" + schema.Quote(x.Name) + "]/"
-		items = append(items, schema.Item{Path: module + "revision", Value: x.Revision}, schema.Item{Path: module + "namespace", Value: x.Namespace})
+// addYANGLibrary adds the YANG library, the list of modules, to a tree (RFC 8525).
+func addYANGLibrary(tree *schema.Node, m *schema.Model) {
+	const root = "/yang-library/"
+	items := []schema.Item{{Path: root + "content-id", Value: m.ID}, {Path: root + "schema[name='all']/module-set[.='all']", Value: "all"}}
+	for _, mod := range m.Modules {
+		module := root + "module-set[name='all']/module[name=" + schema.Quote(mod.Name) + "]/"
+		items = append(items, schema.Item{Path: module + "revision", Value: mod.Revision}, schema.Item{Path: module + "namespace", Value: mod.Namespace})
 	}
 	for _, i := range items {
-		_ = tree.Put(i) // the model has all of them, see the tests
+		_ = tree.Put(i) // cannot fail: the model includes ietf-yang-library; TestSessions reads it back
 	}
 }
 
-// getSchema returns a module's text (RFC 6022, 3.1).
-func (x *session) getSchema(op *etree.Element) ([]byte, error) {
-	if err := params(op, "identifier", "version", "format"); err != nil {
+// getSchema handles get-schema, which returns the text of a module (RFC 6022, 3.1).
+func (sess *session) getSchema(op *etree.Element) ([]byte, error) {
+	if err := checkParams(op, "identifier", "version", "format"); err != nil {
 		return nil, err
 	}
-	name, version, format := text(op, "identifier"), text(op, "version"), text(op, "format")
+	name, version, format := childText(op, "identifier"), childText(op, "version"), childText(op, "format")
 	if name == "" {
-		return nil, missing("identifier")
+		return nil, missingElement("identifier")
 	}
 	if _, rest, ok := strings.Cut(format, ":"); ok {
 		format = rest
 	}
-	for _, m := range x.server.Model.Modules {
+	for _, m := range sess.server.Model.Modules {
 		if m.Name == name && (version == "" || version == m.Revision) && (format == "" || format == "yang") {
 			var b bytes.Buffer
-			b.WriteString(`<data xmlns="` + monitoring + `">`)
-			escape(&b, m.Text)
+			b.WriteString(`<data xmlns="` + monitoringNS + `">`)
+			writeEscaped(&b, m.Text)
 			b.WriteString("</data>")
 			return b.Bytes(), nil
 		}
 	}
-	return nil, &rpcError{kind: "application", tag: "invalid-value", message: "there is no such schema"}
+	return nil, &rpcError{errorType: "application", tag: "invalid-value", message: "there is no such schema"}
 }
--- a/internal/netconf/output.go
+++ b/internal/netconf/output.go
@@ -10,38 +10,38 @@
 	"brookmux/internal/schema"
 )
 
-// mode is how defaults are shown (RFC 6243, 3).
-type mode string
+// defaultsMode says how leaves with default values are reported (RFC 6243, 3).
+type defaultsMode string
 
-// The modes; explicit is the basic one.
+// The modes of with-defaults. explicit is the basic mode, used when a request names none.
 const (
-	explicit  mode = "explicit"
-	reportAll mode = "report-all"
-	trim      mode = "trim"
-	tagAll    mode = "report-all-tagged"
+	explicit        defaultsMode = "explicit"
+	reportAll       defaultsMode = "report-all"
+	trim            defaultsMode = "trim"
+	reportAllTagged defaultsMode = "report-all-tagged"
 )
 
-// shown applies a mode to a tree, which it may change.
-func (m mode) shown(tree *schema.Node) *schema.Node {
+// apply returns the tree with defaults added or removed as the mode requires. It may change the tree.
+func (m defaultsMode) apply(tree *schema.Node) *schema.Node {
 	switch m {
-	case reportAll, tagAll:
+	case reportAll, reportAllTagged:
 		return schema.WithDefaults(tree)
 	case trim:
-		var usual []*schema.Node
+		var atDefault []*schema.Node
 		tree.Walk(func(n *schema.Node) bool {
 			if isDefault(n) {
-				usual = append(usual, n)
+				atDefault = append(atDefault, n)
 			}
 			return true
 		})
-		for _, n := range usual {
+		for _, n := range atDefault {
 			n.Drop()
 		}
 	}
 	return tree
 }
 
-// isDefault tells whether a leaf has the value that it has without being set.
+// isDefault reports whether a node is a leaf whose value equals its schema default.
 func isDefault(n *schema.Node) bool {
 	d := n.Def
 	if d.Kind != schema.Leaf || len(d.Default) != 1 {
@@ -51,34 +51,36 @@
 	return err == nil && v == n.Value
 }
 
-// writeTree appends what is under a node.
-func writeTree(b *bytes.Buffer, n *schema.Node, m mode) {
+// writeChildren appends the children of a node as XML.
+func writeChildren(b *bytes.Buffer, n *schema.Node, m defaultsMode) {
 	for _, c := range n.Children() {
 		writeNode(b, c, m)
 	}
 }
 
-func writeNode(b *bytes.Buffer, n *schema.Node, m mode) {
+// writeNode appends a node as XML, with a namespace declaration where it differs from the parent's.
+func writeNode(b *bytes.Buffer, n *schema.Node, m defaultsMode) {
 	d := n.Def
 	b.WriteString("<" + d.Name)
 	if d.Parent.Namespace != d.Namespace {
 		b.WriteString(` xmlns="` + d.Namespace + `"`)
 	}
-	if m == tagAll && isDefault(n) {
-		b.WriteString(` xmlns:wd="` + tagged + `" wd:default="true"`)
+	if m == reportAllTagged && isDefault(n) {
+		b.WriteString(` xmlns:wd="` + defaultAttrNS + `" wd:default="true"`)
 	}
 	if n.Len() == 0 && n.Value == "" {
 		b.WriteString("/>")
 		return
 	}
 	b.WriteString(">")
-	escape(b, n.Value)
-	writeTree(b, n, m)
+	writeEscaped(b, n.Value)
+	writeChildren(b, n, m)
 	b.WriteString("</" + d.Name + ">")
 }
 
-// filtered returns what a filter leaves of a tree (RFC 6241, 6 and 8.9).
-func filtered(tree *schema.Node, filter *etree.Element) (*schema.Node, error) {
+// applyFilter returns a copy of the part of a tree that a subtree or XPath filter selects (RFC 6241, 6 and 8.9). With a
+// nil filter it returns the tree itself.
+func applyFilter(tree *schema.Node, filter *etree.Element) (*schema.Node, error) {
 	if filter == nil {
 		return tree, nil
 	}
@@ -87,38 +89,39 @@
 	case "subtree":
 		for _, f := range filter.ChildElements() {
 			for _, c := range tree.Children() {
-				if matches(c, f) {
-					subtree(out, c, f)
+				if matchesElement(c, f) {
+					selectSubtree(out, c, f)
 				}
 			}
 		}
 	case "xpath":
 		text := filter.SelectAttrValue("select", "")
 		if text == "" {
-			return nil, protocol("missing-attribute", "the filter has no select", [2]string{"bad-attribute", "select"},
+			return nil, protocolError("missing-attribute", "the filter has no select", [2]string{"bad-attribute", "select"},
 				[2]string{"bad-element", "filter"})
 		}
 		nodes, err := schema.Select(tree, text)
 		if err != nil {
-			return nil, &rpcError{kind: "protocol", tag: "invalid-value", message: err.Error()}
+			return nil, &rpcError{errorType: "protocol", tag: "invalid-value", message: err.Error()}
 		}
 		for _, n := range nodes {
-			graft(out, n)
+			mergeWithAncestors(out, n)
 		}
 	default:
-		return nil, protocol("bad-attribute", kind+" is no type of filter", [2]string{"bad-attribute", "type"},
+		return nil, protocolError("bad-attribute", kind+" is no type of filter", [2]string{"bad-attribute", "type"},
 			[2]string{"bad-element", "filter"})
 	}
 	return out, nil
 }
 
-// matches tells whether a filter's element names a node; without a namespace it names one of any (RFC 6241, 6.2.1).
-func matches(n *schema.Node, f *etree.Element) bool {
-	ns := f.NamespaceURI()
-	if n.Def.Name != f.Tag || ns != "" && ns != base && ns != n.Def.Namespace {
+// matchesElement reports whether a filter element names a node. An element without a namespace, or in the one that it
+// inherits from the request, matches a node of any namespace (RFC 6241, 6.2.1).
+func matchesElement(n *schema.Node, filter *etree.Element) bool {
+	ns := filter.NamespaceURI()
+	if n.Def.Name != filter.Tag || ns != "" && ns != baseNS && ns != n.Def.Namespace {
 		return false
 	}
-	for _, a := range f.Attr { // no node here has attributes to match (6.2.2)
+	for _, a := range filter.Attr { // nodes have no attributes, so an attribute match expression never matches (6.2.2)
 		if a.Space != "xmlns" && a.Key != "xmlns" {
 			return false
 		}
@@ -126,94 +129,97 @@
 	return true
 }
 
-// subtree adds what a filter's element selects of a node, and tells whether that is anything.
-func subtree(to *schema.Node, n *schema.Node, f *etree.Element) bool {
+// selectSubtree adds to dst what a filter element selects of node n, and reports whether it selects anything.
+func selectSubtree(dst *schema.Node, n *schema.Node, filter *etree.Element) bool {
 	if n.Def.Leafy() {
-		if text := strings.TrimSpace(f.Text()); text != "" && text != n.Value {
+		if text := strings.TrimSpace(filter.Text()); text != "" && text != n.Value {
 			return false
 		}
-		to.Adopt(n)
+		dst.Adopt(n)
 		return true
 	}
-	var content, others []*etree.Element
-	for _, c := range f.ChildElements() {
+	var content, selections []*etree.Element
+	for _, c := range filter.ChildElements() {
 		if len(c.ChildElements()) == 0 && strings.TrimSpace(c.Text()) != "" {
 			content = append(content, c)
 		} else {
-			others = append(others, c)
+			selections = append(selections, c)
 		}
 	}
-	for _, c := range content { // all of them have to match (6.2.5)
+	for _, c := range content { // all content match nodes have to match (6.2.5)
 		found := false
-		for _, x := range n.Children() {
-			found = found || matches(x, c) && x.Def.Leafy() && x.Value == strings.TrimSpace(c.Text())
+		for _, child := range n.Children() {
+			found = found || matchesElement(child, c) && child.Def.Leafy() && child.Value == strings.TrimSpace(c.Text())
 		}
 		if !found {
 			return false
 		}
 	}
-	if len(others) == 0 {
-		merge(to, n)
+	if len(selections) == 0 {
+		mergeNode(dst, n)
 		return true
 	}
-	part := shell(to, n)
-	any := false
+	dstNode := addCopyWithKeys(dst, n)
+	selected := false
 	for _, c := range content {
-		for _, x := range n.Children() {
-			if matches(x, c) && x.Value == strings.TrimSpace(c.Text()) {
-				part.Adopt(x)
-				any = true
+		for _, child := range n.Children() {
+			if matchesElement(child, c) && child.Value == strings.TrimSpace(c.Text()) {
+				dstNode.Adopt(child)
+				selected = true
 			}
 		}
 	}
-	for _, c := range others {
-		for _, x := range n.Children() {
-			if matches(x, c) && subtree(part, x, c) {
-				any = true
+	for _, c := range selections {
+		for _, child := range n.Children() {
+			if matchesElement(child, c) && selectSubtree(dstNode, child, c) {
+				selected = true
 			}
 		}
 	}
-	if !any && part.Len() <= len(n.Def.Keys) {
-		to.Remove(part)
+	if !selected && dstNode.Len() <= len(n.Def.Keys) {
+		dst.Remove(dstNode)
 	}
-	return any
+	return selected
 }
 
-// shell returns the copy of a node without what is in it, but for its keys.
-func shell(to, n *schema.Node) *schema.Node {
-	c, err := to.Add(n.Def, n.Keys()...)
+// addCopyWithKeys returns the copy of n below dst, and adds one with only the keys of n if there is none yet.
+func addCopyWithKeys(dst, n *schema.Node) *schema.Node {
+	c, err := dst.Add(n.Def, n.Keys()...)
 	if err != nil && !errors.Is(err, schema.ErrExists) {
-		return to.Adopt(n) // can't be: it stood in a tree
+		return dst.Adopt(n) // unreachable: n was in a tree, so its keys are valid
 	}
 	return c
 }
 
-// merge adds a node with all in it to what is there of it.
-func merge(to, n *schema.Node) {
+// mergeNode adds a node and everything below it to dst, into the copy of it that dst may already have.
+func mergeNode(dst, n *schema.Node) {
 	if n.Def.Leafy() {
-		to.Adopt(n)
+		dst.Adopt(n)
 		return
 	}
-	c := shell(to, n)
-	for _, x := range n.Children() {
-		merge(c, x)
+	c := addCopyWithKeys(dst, n)
+	for _, child := range n.Children() {
+		mergeNode(c, child)
 	}
 }
 
-// graft adds a node of another tree with all in it, under copies of what it stands under.
-func graft(root, n *schema.Node) {
+// mergeWithAncestors adds a node of another tree and everything below it to the tree at root, below copies of its
+// ancestors.
+func mergeWithAncestors(root, n *schema.Node) {
 	if n.Parent == nil {
 		for _, c := range n.Children() {
-			merge(root, c)
+			mergeNode(root, c)
 		}
 		return
 	}
-	merge(above(root, n.Parent), n)
+	mergeNode(addAncestors(root, n.Parent), n)
 }
 
-func above(root, n *schema.Node) *schema.Node {
+// addAncestors returns the copy of n in the tree at root. It adds the copy and those of the ancestors, with only their
+// keys, where they are missing.
+func addAncestors(root, n *schema.Node) *schema.Node {
 	if n.Parent == nil {
 		return root
 	}
-	return shell(above(root, n.Parent), n)
+	return addCopyWithKeys(addAncestors(root, n.Parent), n)
 }
--- a/internal/netconf/session.go
+++ b/internal/netconf/session.go
@@ -18,13 +18,14 @@
 	"brookmux/internal/transact"
 )
 
-// The base capabilities.
+// Capabilities of the base protocol, versions 1.0 and 1.1.
 const (
 	base10 = "urn:ietf:params:netconf:base:1.0"
 	base11 = "urn:ietf:params:netconf:base:1.1"
 )
 
-// capabilities are what a server says beside its modules (RFC 6241, 8; RFC 6243, 4; RFC 5277, 3 and 6).
+// capabilities are announced in the hello, in addition to the YANG library and the modules (RFC 6241, 8; RFC 6243, 4;
+// RFC 5277, 3 and 6).
 var capabilities = []string{base10, base11,
 	"urn:ietf:params:netconf:capability:writable-running:1.0",
 	"urn:ietf:params:netconf:capability:candidate:1.0",
@@ -36,213 +37,214 @@
 	"urn:ietf:params:netconf:capability:with-defaults:1.0?basic-mode=explicit&also-supported=report-all,report-all-tagged,trim",
 	"urn:ietf:params:netconf:capability:notification:1.0",
 	"urn:ietf:params:netconf:capability:interleave:1.0",
-	monitoring + "?module=ietf-netconf-monitoring&revision=2010-10-04",
+	monitoringNS + "?module=ietf-netconf-monitoring&revision=2010-10-04",
 }
 
-// Config says what a Server is.
+// Config configures a Server. Owner, Model, Now and Log are required.
 type Config struct {
 	Owner *transact.Owner
 	Model *schema.Model
-	State func(tree *schema.Node) // adds what is seen to a copy of running; nil for nothing
-	// Rules are those that hold for a user now (RFC 8341); nil: everybody may do everything. Who may change what is for
-	// the Owner's store.
+	State func(tree *schema.Node) // adds state data to a copy of running, may be nil
+	// Rules returns the access control rules that now apply to a user (RFC 8341), or nil for unrestricted access. If Rules
+	// is nil, access is unrestricted. The Owner's store checks write access to the configuration.
 	Rules func(user string) *nacm.Rules
 	Now   func() time.Time
 	Log   *slog.Logger
 }
 
-// Server holds the sessions.
+// Server is a NETCONF server. It holds the open sessions and the event stream, and is safe for concurrent use.
 type Server struct {
 	Config
-	stream *stream
+	stream *eventStream
 
-	mu   sync.Mutex
-	live map[datastore.SessionID]*session
+	mu       sync.Mutex
+	sessions map[datastore.SessionID]*session
 }
 
-// NewServer returns a Server without sessions.
+// NewServer returns a Server without sessions. Serve adds one for each connection.
 func NewServer(c Config) *Server {
-	return &Server{Config: c, stream: newStream(), live: map[datastore.SessionID]*session{}}
+	return &Server{Config: c, stream: newEventStream(), sessions: map[datastore.SessionID]*session{}}
 }
 
-// session is one client's connection.
+// session is the NETCONF session of one client.
 type session struct {
-	server *Server
-	who    datastore.Session
-	conn   io.Closer
-	log    *slog.Logger
-	ending bool // after the present reply
-	subbed bool
+	server     *Server
+	dsSession  datastore.Session
+	conn       io.Closer
+	log        *slog.Logger
+	closing    bool // the session ends after the current reply
+	subscribed bool // a subscription was created, at most one in a session
 
-	mu    sync.Mutex // of the framer's writing half
-	frame framer
+	writeMu sync.Mutex // guards the framer's writing side
+	framer  framer
 }
 
-// Serve speaks with one client until its connection or session ends, and closes the connection. The user is who the
-// transport says it is.
+// Serve runs the session of one client until its connection or session ends, then closes the connection and releases the
+// session's locks. user is the name that the transport has authenticated. An orderly end of the input is not an error.
 func (s *Server) Serve(conn io.ReadWriteCloser, user string) error {
 	defer conn.Close()
-	var who datastore.Session
+	var dsSession datastore.Session
 	err := s.Owner.Do(func(d *datastore.Store) (err error) {
-		who, err = d.Open(user, "netconf")
+		dsSession, err = d.Open(user, "netconf")
 		return err
 	})
 	if err != nil {
 		return fmt.Errorf("netconf: %w", err)
 	}
-	x := &session{server: s, who: who, conn: conn, frame: framer{r: bufio.NewReader(conn), w: conn},
-		log: s.Log.With("session", uint32(who.ID), "user", user)}
+	sess := &session{server: s, dsSession: dsSession, conn: conn, framer: framer{r: bufio.NewReader(conn), w: conn},
+		log: s.Log.With("session", uint32(dsSession.ID), "user", user)}
 	s.mu.Lock()
-	s.live[who.ID] = x
+	s.sessions[dsSession.ID] = sess
 	s.mu.Unlock()
-	x.log.Info("netconf session", "state", "open")
-	err = x.run()
+	sess.log.Info("netconf session", "state", "open")
+	err = sess.run()
 	s.mu.Lock()
-	delete(s.live, who.ID)
+	delete(s.sessions, dsSession.ID)
 	s.mu.Unlock()
-	s.stream.leave(x)
-	s.Owner.Close(who.ID) // its locks, and what waits for its confirmation
-	x.log.Info("netconf session", "state", "closed", "error", err)
+	s.stream.unsubscribe(sess)
+	s.Owner.Close(dsSession.ID) // releases its locks and reverts its unconfirmed commit, unless that persists
+	sess.log.Info("netconf session", "state", "closed", "error", err)
 	if errors.Is(err, io.EOF) {
 		return nil
 	}
 	return err
 }
 
-// Close ends all sessions.
+// Close ends all sessions by closing their connections. It does not wait for them.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, x := range s.live {
-		x.conn.Close()
+	for _, sess := range s.sessions {
+		sess.conn.Close()
 	}
 }
 
-// Told takes a transaction for those who have subscribed (RFC 6470: netconf-config-change).
+// Told publishes a transaction to the subscribers, as a netconf-config-change (RFC 6470). A confirmation changes nothing
+// and is not published.
 func (s *Server) Told(e transact.Event) {
 	if e.Kind != datastore.KindConfirm {
-		s.stream.put(event{e.At, "ietf-netconf-notifications", "netconf-config-change", change(s.Model, e)})
+		s.stream.publish(event{e.At, "ietf-netconf-notifications", "netconf-config-change", configChangeXML(s.Model, e)})
 	}
 }
 
-// Event tells those who have subscribed of something beside the configuration, by a notification of the module
-// brookmux-events with its leaves; those without a value are left out.
+// Event publishes a notification of the module brookmux-events to the subscribers. leaves are names and values; a leaf
+// with an empty value is omitted.
 func (s *Server) Event(name string, leaves ...[2]string) {
 	var b bytes.Buffer
 	b.WriteString("<" + name + ` xmlns="urn:brookmux:events">`)
 	for _, l := range leaves {
 		if l[1] != "" {
-			element(&b, l[0], l[1])
+			writeElement(&b, l[0], l[1])
 		}
 	}
 	b.WriteString("</" + name + ">")
-	s.stream.put(event{s.Now(), "brookmux-events", name, b.Bytes()})
+	s.stream.publish(event{s.Now(), "brookmux-events", name, b.Bytes()})
 }
 
-// run is a session from hello to its end.
-func (x *session) run() error {
-	if err := x.hello(); err != nil {
+// run exchanges the hellos and handles requests until the session ends or a read or write fails.
+func (sess *session) run() error {
+	if err := sess.hello(); err != nil {
 		return err
 	}
-	for !x.ending {
-		message, err := x.frame.read()
+	for !sess.closing {
+		message, err := sess.framer.read()
 		if err != nil {
 			return err
 		}
-		if err := x.send(x.answer(message)); err != nil {
+		if err := sess.send(sess.handleMessage(message)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// send writes a message; notifications come from another goroutine.
-func (x *session) send(message []byte) error {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.frame.write(message)
+// send writes a message. It is safe for concurrent use: notifications are sent from another goroutine.
+func (sess *session) send(message []byte) error {
+	sess.writeMu.Lock()
+	defer sess.writeMu.Unlock()
+	return sess.framer.write(message)
 }
 
-// hello exchanges what both ends know (RFC 6241, 8.1).
-func (x *session) hello() error {
+// hello sends and reads the hello messages and selects the framing (RFC 6241, 8.1).
+func (sess *session) hello() error {
 	var b bytes.Buffer
-	b.WriteString(`<hello xmlns="` + base + `"><capabilities>`)
+	b.WriteString(`<hello xmlns="` + baseNS + `"><capabilities>`)
 	for _, c := range capabilities {
-		element(&b, "capability", c)
+		writeElement(&b, "capability", c)
 	}
-	element(&b, "capability", "urn:ietf:params:netconf:capability:yang-library:1.1?revision=2019-01-04&content-id="+x.server.Model.ID)
-	for _, m := range x.server.Model.Modules {
-		element(&b, "capability", m.Namespace+"?module="+m.Name+"&revision="+m.Revision)
+	writeElement(&b, "capability", "urn:ietf:params:netconf:capability:yang-library:1.1?revision=2019-01-04&content-id="+sess.server.Model.ID)
+	for _, m := range sess.server.Model.Modules {
+		writeElement(&b, "capability", m.Namespace+"?module="+m.Name+"&revision="+m.Revision)
 	}
-	fmt.Fprintf(&b, "</capabilities><session-id>%d</session-id></hello>", x.who.ID)
+	fmt.Fprintf(&b, "</capabilities><session-id>%d</session-id></hello>", sess.dsSession.ID)
 	sent := make(chan error, 1)
-	go func() { sent <- x.send(b.Bytes()) }() // both ends may send first
-	message, err := x.frame.read()
+	go func() { sent <- sess.send(b.Bytes()) }() // both peers may send first, so neither may wait for the other to read
+	message, err := sess.framer.read()
 	if err != nil {
-		x.conn.Close()
+		sess.conn.Close()
 		<-sent
 		return err
 	}
 	if err := <-sent; err != nil {
 		return err
 	}
-	e, err := parse(message)
+	e, err := parseXML(message)
 	if err != nil {
 		return fmt.Errorf("netconf: hello: %w", err)
 	}
-	if e.Tag != "hello" || e.NamespaceURI() != base || only(e, "session-id") != nil {
-		return errors.New("netconf: the first message is no hello of a client")
+	if e.Tag != "hello" || e.NamespaceURI() != baseNS || onlyChild(e, "session-id") != nil {
+		return errors.New("netconf: the first message is not a client hello")
 	}
-	known := false
-	if list := only(e, "capabilities"); list != nil {
+	baseKnown := false
+	if list := onlyChild(e, "capabilities"); list != nil {
 		for _, c := range list.ChildElements() {
 			switch c.Text() {
 			case base11:
-				x.frame.chunked = true
-				known = true
+				sess.framer.chunked = true
+				baseKnown = true
 			case base10:
-				known = true
+				baseKnown = true
 			}
 		}
 	}
-	if !known {
-		return errors.New("netconf: the client knows no base version")
+	if !baseKnown {
+		return errors.New("netconf: the client supports no base version")
 	}
 	return nil
 }
 
-// answer carries out one request and returns the reply.
-func (x *session) answer(message []byte) []byte {
+// handleMessage executes one request and returns the reply.
+func (sess *session) handleMessage(message []byte) []byte {
 	var b bytes.Buffer
-	b.WriteString(`<rpc-reply xmlns="` + base + `"`)
-	rpc, err := parse(message)
+	b.WriteString(`<rpc-reply xmlns="` + baseNS + `"`)
+	rpc, err := parseXML(message)
 	var body []byte
 	switch {
 	case err != nil:
-		err = &rpcError{kind: "rpc", tag: "malformed-message", message: err.Error()}
-	case rpc.Tag != "rpc" || rpc.NamespaceURI() != base:
-		err = &rpcError{kind: "rpc", tag: "malformed-message", message: "it is no rpc"}
+		err = &rpcError{errorType: "rpc", tag: "malformed-message", message: err.Error()}
+	case rpc.Tag != "rpc" || rpc.NamespaceURI() != baseNS:
+		err = &rpcError{errorType: "rpc", tag: "malformed-message", message: "it is no rpc"}
 	default:
-		for _, a := range rpc.Attr { // all of them come back (RFC 6241, 4.2)
+		for _, a := range rpc.Attr { // the reply repeats all attributes of the rpc element (RFC 6241, 4.2)
 			if a.Key != "xmlns" {
 				b.WriteString(" " + a.FullKey() + `="`)
-				escape(&b, a.Value)
+				writeEscaped(&b, a.Value)
 				b.WriteString(`"`)
 			}
 		}
 		if rpc.SelectAttr("message-id") == nil {
-			err = &rpcError{kind: "rpc", tag: "missing-attribute", message: "message-id is missing",
+			err = &rpcError{errorType: "rpc", tag: "missing-attribute", message: "message-id is missing",
 				info: [][2]string{{"bad-attribute", "message-id"}, {"bad-element", "rpc"}}}
 		} else {
-			body, err = x.carryOut(rpc)
+			body, err = sess.dispatch(rpc)
 		}
 	}
 	b.WriteString(">")
 	switch {
 	case err != nil:
-		for _, e := range rpcErrors(err) {
-			x.log.Debug("netconf", "error", e)
-			e.write(&b, x.server.Model)
+		for _, e := range toRPCErrors(err) {
+			sess.log.Debug("netconf", "error", e)
+			e.write(&b, sess.server.Model)
 		}
 	case body == nil:
 		b.WriteString("<ok/>")
@@ -253,31 +255,31 @@
 	return b.Bytes()
 }
 
-// carryOut carries out the one operation of a request.
-func (x *session) carryOut(rpc *etree.Element) ([]byte, error) {
+// dispatch calls the handler of the single operation in a request, if the user may call it.
+func (sess *session) dispatch(rpc *etree.Element) ([]byte, error) {
 	ops := rpc.ChildElements()
 	if len(ops) != 1 {
-		return nil, &rpcError{kind: "rpc", tag: "malformed-message", message: "one operation is needed"}
+		return nil, &rpcError{errorType: "rpc", tag: "malformed-message", message: "one operation is needed"}
 	}
 	op := ops[0]
-	f := rpcs[op.NamespaceURI()+" "+op.Tag]
-	if f == nil {
-		return nil, protocol("operation-not-supported", op.Tag+" is not known here", [2]string{"bad-element", op.Tag})
+	handler := rpcHandlers[op.NamespaceURI()+" "+op.Tag]
+	if handler == nil {
+		return nil, protocolError("operation-not-supported", op.Tag+" is not known here", [2]string{"bad-element", op.Tag})
 	}
-	if r := x.rules(); r != nil && !r.Call(x.who.User, modules[op.NamespaceURI()], op.Tag) {
-		return nil, protocol("access-denied", x.who.User+" may not call "+op.Tag)
+	if rules := sess.nacmRules(); rules != nil && !rules.Call(sess.dsSession.User, rpcModules[op.NamespaceURI()], op.Tag) {
+		return nil, protocolError("access-denied", sess.dsSession.User+" may not call "+op.Tag)
 	}
-	return f(x, op)
+	return handler(sess, op)
 }
 
-// modules are those that the operations are of.
-var modules = map[string]string{base: "ietf-netconf", monitoring: "ietf-netconf-monitoring", events: "notifications",
-	history: "brookmux-transactions"}
+// rpcModules maps the namespaces of the operations to module names, for access control.
+var rpcModules = map[string]string{baseNS: "ietf-netconf", monitoringNS: "ietf-netconf-monitoring", notificationNS: "notifications",
+	transactionsNS: "brookmux-transactions"}
 
-// rules are those that hold for this session's user, or nil.
-func (x *session) rules() *nacm.Rules {
-	if x.server.Rules == nil {
+// nacmRules returns the access control rules that now apply to the session's user, or nil for unrestricted access.
+func (sess *session) nacmRules() *nacm.Rules {
+	if sess.server.Rules == nil {
 		return nil
 	}
-	return x.server.Rules(x.who.User)
+	return sess.server.Rules(sess.dsSession.User)
 }
