--- a/cmd/faultsoak/main.go
+++ b/cmd/faultsoak/main.go
@@ -1,5 +1,5 @@
-// Command faultsoak plays fault-injection trials against the border controller as it is deployed: real processes on
-// loopback, faults drawn from seeds, and a checker that judges from the records of clients, cores and discovery.
+// Command faultsoak runs fault-injection trials against the border controller as it is deployed: real processes on
+// loopback, with faults drawn from seeds. A checker evaluates the records of clients, cores and discovery.
 package main
 
 import (
@@ -20,10 +20,10 @@
 	"brookmux/internal/faulttrial"
 )
 
-// commands is the command line.
+// commands defines the command line.
 type commands struct {
-	Run    runCommand    `cmd:"" help:"Play the trials of a range of seeds and print what was found."`
-	Shrink shrinkCommand `cmd:"" help:"Drop the faults of a seed's trial one by one while the finding stays."`
+	Run    runCommand    `cmd:"" help:"Run the trials of a range of seeds and print the findings."`
+	Shrink shrinkCommand `cmd:"" help:"Remove faults from a seed's trial one by one, as long as the same rule is still broken."`
 	Plan   planCommand   `cmd:"" help:"Print the plan of a seed."`
 }
 
@@ -36,31 +36,31 @@
 }
 
 type runCommand struct {
-	Program  string   `help:"The program." default:"bin/brookmux" type:"existingfile"`
+	Program  string   `help:"Path of the controller's program." default:"bin/brookmux" type:"existingfile"`
 	Seeds    string   `help:"Seeds, as in 1..50 or 7." default:"1..10"`
 	Only     []string `help:"Draw these kinds of faults only."`
-	Parallel int      `help:"Trials at a time." default:"4"`
+	Parallel int      `help:"Number of concurrent trials." default:"4"`
 	Out      string   `help:"Folder for the records of trials with findings." default:"found" type:"path"`
-	Table    string   `help:"File for the table, as Markdown." type:"path"`
+	Table    string   `help:"File for the summary, as Markdown." type:"path"`
 }
 
-// seeds reads a range of seeds.
-func seeds(text string) (from, to uint64, err error) {
-	first, last, ranged := strings.Cut(text, "..")
-	if !ranged {
+// parseSeeds parses a seed or a range A..B, both ends included.
+func parseSeeds(text string) (from, to uint64, err error) {
+	first, last, isRange := strings.Cut(text, "..")
+	if !isRange {
 		last = first
 	}
 	if from, err = strconv.ParseUint(first, 10, 64); err == nil {
 		to, err = strconv.ParseUint(last, 10, 64)
 	}
 	if err != nil || to < from {
-		return 0, 0, fmt.Errorf("seeds %q: A..B or a number is needed", text)
+		return 0, 0, fmt.Errorf("seeds %q: expected A..B or a number", text)
 	}
 	return from, to, nil
 }
 
-// kinds reads the names of kinds of faults.
-func kinds(names []string) ([]faulttrial.FaultKind, error) {
+// parseKinds checks the names of fault kinds and converts them.
+func parseKinds(names []string) ([]faulttrial.FaultKind, error) {
 	var out []faulttrial.FaultKind
 	for _, name := range names {
 		found := false
@@ -68,31 +68,32 @@
 			found = found || string(k) == name
 		}
 		if !found {
-			return nil, fmt.Errorf("fault %q is not known: %v", name, faulttrial.FaultKinds)
+			return nil, fmt.Errorf("unknown fault %q, expected one of %v", name, faulttrial.FaultKinds)
 		}
 		out = append(out, faulttrial.FaultKind(name))
 	}
 	return out, nil
 }
 
-// Run plays trials side by side.
+// Run runs the trials of all seeds, Parallel at a time, and prints their reports and the summary. It returns an error
+// if there are findings or failed trials.
 func (c runCommand) Run(ctx context.Context, out io.Writer) error {
-	from, to, err := seeds(c.Seeds)
+	from, to, err := parseSeeds(c.Seeds)
 	if err != nil {
 		return err
 	}
-	only, err := kinds(c.Only)
+	only, err := parseKinds(c.Only)
 	if err != nil {
 		return err
 	}
 	var summary faulttrial.Summary
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var trials sync.WaitGroup
 	slots := make(chan struct{}, max(1, c.Parallel))
-	began := time.Now()
+	startTime := time.Now()
 	for seed := from; seed <= to && ctx.Err() == nil; seed++ {
 		slots <- struct{}{}
-		all.Go(func() {
+		trials.Go(func() {
 			defer func() { <-slots }()
 			t, err := faulttrial.Run(faulttrial.NewPlan(seed, only), c.Program, filepath.Join(c.Out, fmt.Sprint("seed-", seed)), ctx.Done())
 			mu.Lock()
@@ -100,11 +101,11 @@
 			summary.Add(t, err)
 			report(out, t, err)
 			done := summary.Trials
-			left := time.Since(began) / time.Duration(done) * time.Duration(int(to-from)+1-done)
-			fmt.Fprintf(out, "%d of %d, about %v left\n", done, to-from+1, left.Round(time.Second))
+			remaining := time.Since(startTime) / time.Duration(done) * time.Duration(int(to-from)+1-done)
+			fmt.Fprintf(out, "%d of %d, about %v remaining\n", done, to-from+1, remaining.Round(time.Second))
 		})
 	}
-	all.Wait()
+	trials.Wait()
 	table := summary.Markdown()
 	fmt.Fprint(out, "\n", table)
 	if c.Table != "" {
@@ -112,13 +113,14 @@
 			return err
 		}
 	}
-	if n := summary.Found(); n > 0 {
-		return fmt.Errorf("%d findings", n)
+	if n := summary.Problems(); n > 0 {
+		return fmt.Errorf("%d findings or failed trials", n)
 	}
 	return ctx.Err()
 }
 
-// report prints a trial's findings, and keeps its records where there are any.
+// report prints a trial's result with its first five findings. It saves the records of a trial with findings or an
+// error and removes the folder of any other.
 func report(out io.Writer, t faulttrial.Trial, err error) {
 	fmt.Fprintf(out, "seed %d: %d calls, %d stood, %d findings, timers %v late\n", t.Plan.Seed, t.Verdict.Calls, t.Verdict.Stood,
 		len(t.Verdict.Findings), t.Lag.Round(time.Millisecond))
@@ -133,24 +135,25 @@
 		fmt.Fprintf(out, "  %v\n", f)
 	}
 	if err == nil && len(t.Verdict.Findings) == 0 {
-		_ = os.RemoveAll(t.Dir) // what is left is only more than needed
+		_ = os.RemoveAll(t.Dir) // a leftover folder does no harm
 		return
 	}
 	if err := t.Save(); err != nil {
-		fmt.Fprintf(out, "  records not kept: %v\n", err)
+		fmt.Fprintf(out, "  records not saved: %v\n", err)
 	}
 }
 
 type shrinkCommand struct {
-	Program string   `help:"The program." default:"bin/brookmux" type:"existingfile"`
-	Seed    uint64   `arg:"" help:"Whose trial."`
-	Only    []string `help:"The kinds of faults that were drawn."`
-	Out     string   `help:"Folder for records." default:"found/shrink" type:"path"`
+	Program string   `help:"Path of the controller's program." default:"bin/brookmux" type:"existingfile"`
+	Seed    uint64   `arg:"" help:"Seed of the trial."`
+	Only    []string `help:"Kinds of faults that the trial was drawn from."`
+	Out     string   `help:"Folder for the records of trials." default:"found/shrink" type:"path"`
 }
 
-// Run drops faults while a finding of the same rule stays.
+// Run removes one fault after another from the plan, keeps each removal after which the first finding's rule is still
+// broken, and prints the remaining steps.
 func (c shrinkCommand) Run(ctx context.Context, out io.Writer) error {
-	only, err := kinds(c.Only)
+	only, err := parseKinds(c.Only)
 	if err != nil {
 		return err
 	}
@@ -164,15 +167,15 @@
 	}
 	rule := t.Verdict.Findings[0].Rule
 	for i := 0; i < len(plan.Steps) && ctx.Err() == nil; {
-		fewer := plan
-		fewer.Steps = append(append([]faulttrial.Step(nil), plan.Steps[:i]...), plan.Steps[i+1:]...)
-		t, err := faulttrial.Run(fewer, c.Program, c.Out, ctx.Done())
+		reduced := plan
+		reduced.Steps = append(append([]faulttrial.Step(nil), plan.Steps[:i]...), plan.Steps[i+1:]...)
+		t, err := faulttrial.Run(reduced, c.Program, c.Out, ctx.Done())
 		if err != nil || !t.Verdict.Has(rule) {
 			i++
 			continue
 		}
 		fmt.Fprintf(out, "without %v: still %s\n", plan.Steps[i], rule)
-		plan = fewer
+		plan = reduced
 	}
 	for _, s := range plan.Steps {
 		fmt.Fprintln(out, s)
@@ -181,13 +184,13 @@
 }
 
 type planCommand struct {
-	Seed uint64   `arg:"" help:"Whose plan."`
+	Seed uint64   `arg:"" help:"Seed of the plan."`
 	Only []string `help:"Draw these kinds of faults only."`
 }
 
-// Run prints a plan.
+// Run prints the plan of a seed.
 func (c planCommand) Run(out io.Writer) error {
-	only, err := kinds(c.Only)
+	only, err := parseKinds(c.Only)
 	if err != nil {
 		return err
 	}
--- a/internal/faulttrial/check.go
+++ b/internal/faulttrial/check.go
@@ -6,62 +6,62 @@
 	"time"
 )
 
-// The time limits of the rules, from the protocol page and the standing test.
+// The limits of the rules, from the protocol page and the standing test. Every time limit is extended by the tolerance.
 const (
-	slack           = 50 * time.Millisecond // every time limit is so much longer
-	lostAfter       = 500 * time.Millisecond
-	drainGrace      = time.Second
-	resendHold      = 300 * time.Millisecond
-	releaseTold     = time.Second
-	releaseEnd      = 8 * time.Second
-	toldAfter       = 1500 * time.Millisecond // of a change, where discovery answers
-	toldAfterOutage = 6 * time.Second         // of a change, after a failed call to discovery
-	toldAfterMove   = 4 * time.Second         // of a change, after a new configuration
-	shutdownCounts  = 3 * time.Second         // the longest deadline counts as this at most
-	shutdownMargin  = 700 * time.Millisecond  // between that and the kill
-	staleRead       = 500 * time.Millisecond  // after a core is back, it reads what had come while it was silent
-	backInTime      = 7 * time.Second         // a core that is silent for less has come back in time
-	letGoWithin     = 2 * time.Second         // a call that stands unheard is released at its core
-	warmAfter       = 14 * time.Second
-	coldShare       = 0.3
-	fallMultiple    = 4
-	fallWindow      = 2 * time.Second
-	toldShare       = 2.0 / 3 // of a cold core's set-ups came from controllers that were told, where the rule is broken
+	tolerance              = 50 * time.Millisecond   // added to every time limit, beside the measured lag of timers
+	answerGrace            = 500 * time.Millisecond  // a final answer may follow the caller's deadline by this
+	drainGrace             = time.Second             // a notified controller may send set-ups to a draining core for this
+	minResendWait          = 300 * time.Millisecond  // between a timeout, reset or cancel and the next attempt
+	releaseRelayLimit      = time.Second             // from the core's release to the caller's
+	releaseLimit           = 8 * time.Second         // from the end of a call to its caller's release
+	notifiedAfter          = 1500 * time.Millisecond // from a membership change, while discovery answers
+	notifiedAfterOutage    = 6 * time.Second         // from the change or discovery's later recovery, after a failed query
+	notifiedAfterReload    = 4 * time.Second         // from a new configuration
+	maxCountedDeadline     = 3 * time.Second         // a longer deadline counts as this in the kill time
+	shutdownMargin         = 700 * time.Millisecond  // between that and SIGKILL
+	staleReadWindow        = 500 * time.Millisecond  // time a core takes, once back, to read what arrived during its outage
+	maxToleratedOutage     = 7 * time.Second         // calls stay on a core that is unresponsive for less
+	undeliveredAnswerLimit = 2 * time.Second         // a call whose answer did not reach its caller is released at its core
+	warmUpTime             = 14 * time.Second        // until a core that has started has its full capacity
+	coldShare              = 0.3                     // part of its full capacity that a core has at its start
+	fallMultiple           = 4                       // set-ups within fallWindow that overload a core, as a multiple of its capacity
+	fallWindow             = 2 * time.Second
+	minNotifiedShare       = 2.0 / 3 // the rule on cold cores counts a breach only if more of the set-ups came from notified controllers
 )
 
-// Excuses of a call whose end was not told as its controller had ended.
+// Reasons to excuse a call whose caller received no release because the controller's process had ended.
 const (
-	excuseRestarted = "the call ended after its controller had"
-	excuseKilled    = "the call's controller was killed before its release was due"
-	excuseMuted     = "the call's controller ended, and its caller's connection was cut without a sign"
-	excuseUnread    = "the call's controller ended, and its core was faulty when it released the call"
+	excuseEndedAfterExit = "the call ended after its controller's process"
+	excuseKilled         = "the call's controller was killed before its release was due"
+	excuseConnectionCut  = "the call's controller ended, and its caller's connection was cut silently"
+	excuseCoreFaulty     = "the call's controller ended, and its core was faulty when it released the call"
 )
 
-// Rule names what a Finding breaks.
+// Rule names a requirement on the controller, which a Finding shows to be broken.
 type Rule string
 
 // The rules.
 const (
-	RuleAnswer   Rule = "lost"          // a set-up without a final answer in time
-	RuleSecond   Rule = "second-answer" // more than one final answer
-	RuleForeign  Rule = "foreign"       // an answer that no core made
-	RuleOverlap  Rule = "overlap"       // two attempts out at once
-	RuleHold     Rule = "hold"          // a resend within 300 ms after a timeout, reset or cancel
-	RuleDrain    Rule = "drain"         // a set-up to a core that drains or is gone
-	RuleRelease  Rule = "release"       // the end of a call that stood is not told in time
-	RuleGivenUp  Rule = "given-up"      // a call was cut though its core was alive and back in time
-	RuleCold     Rule = "cold"          // a core that has just started was pushed over
-	RuleStanding Rule = "left-standing" // a call that its caller does not have stands at a core, which is not told to let go
-	RuleCrash    Rule = "crash"         // a process ended by itself, or with an error, or was not ready in time
-	RuleLimit    Rule = "limit"         // over the limit on memory or descriptors
+	RuleLost         Rule = "lost"          // a set-up without a final answer in time
+	RuleSecondAnswer Rule = "second-answer" // more than one final answer
+	RuleForeign      Rule = "foreign"       // an answer that no core sent
+	RuleOverlap      Rule = "overlap"       // two open attempts at once
+	RuleHold         Rule = "hold"          // a new attempt within 300 ms of a timeout, reset or cancel
+	RuleDrain        Rule = "drain"         // a set-up to a core that is draining or gone
+	RuleRelease      Rule = "release"       // the caller of an ended call is not released in time
+	RuleGivenUp      Rule = "given-up"      // a call was cut although its core was alive and responsive again in time
+	RuleCold         Rule = "cold"          // a core that has just started was overloaded
+	RuleLeftStanding Rule = "left-standing" // a call stands at a core, unreleased, and its caller did not get the answer
+	RuleCrash        Rule = "crash"         // a process crashed, ended with an error or was not ready in time
+	RuleLimit        Rule = "limit"         // the limit on memory or descriptors is exceeded
 )
 
-// Rules are all of them, in the order of tables.
-var Rules = []Rule{RuleAnswer, RuleSecond, RuleForeign, RuleOverlap, RuleHold, RuleDrain, RuleRelease, RuleGivenUp, RuleCold,
+// Rules lists every rule, in the order of the summary's table.
+var Rules = []Rule{RuleLost, RuleSecondAnswer, RuleForeign, RuleOverlap, RuleHold, RuleDrain, RuleRelease, RuleGivenUp, RuleCold,
 
-	RuleStanding, RuleCrash, RuleLimit}
+	RuleLeftStanding, RuleCrash, RuleLimit}
 
-// Finding is a broken rule.
+// Finding is one breach of a rule. Call, Controller and Core are empty where they do not apply.
 type Finding struct {
 	Rule       Rule
 	At         time.Duration
@@ -69,96 +69,101 @@
 	Controller string
 	Core       string
 	Text       string
-	Lines      []Event // that bear on it
+	Evidence   []Event // events that show the breach
 }
 
-// String describes the finding in one line.
+// String returns the finding as one line of text.
 func (f Finding) String() string {
 	return fmt.Sprintf("%s at %.3f s: call %s, controller %s, core %s: %s", f.Rule, f.At.Seconds(), f.Call, f.Controller, f.Core, f.Text)
 }
 
-// Verdict is what the records of a trial show.
+// Verdict is the result of Check: the broken rules and the totals of a trial.
 type Verdict struct {
-	Findings []Finding
-	Excused  map[string]int // by reason
-	Calls    int            // set-ups sent
-	Stood    int
-	Refused  int
-	Failed   int
-	Cut      int // calls that stood and that the controller ended by itself
-	Sendings int // set-ups that reached cores
+	Findings   []Finding
+	Excused    map[string]int // breaches that a known cause excuses, by reason
+	Calls      int            // set-ups that callers sent
+	Stood      int
+	Refused    int
+	Failed     int
+	Cut        int // standing calls that the controller ended on its own
+	CoreSetups int // set-ups that cores received
 }
 
-// CheckConfig is what the checker has to know beside the records.
+// CheckConfig holds what the checker needs beside the records.
 type CheckConfig struct {
 	Settings Settings
-	Capacity float64       // set-ups a second that a warm core bears
-	Lag      time.Duration // how late the trial's own timers were at most
+	Capacity float64       // set-ups per second that a warm core can serve; 0 skips the rule on cold cores
+	Lag      time.Duration // largest delay of the trial's own timers, added to every time limit
 }
 
-// callRecord is what the records hold of one call.
+// callRecord holds the events of one call. Where a kind is kept as a pointer, it is the first event of that kind.
 type callRecord struct {
 	id                      string
 	sent                    *Event
 	answers                 []Event
 	cancel, release, hangup *Event
 	lost                    *Event
-	setups                  []Event           // at cores, in order
-	ends                    []Event           // of attempts, in order
-	end, told               map[string]*Event // by core: of a call there; its release written there
+	setups                  []Event           // received by cores, in order
+	attemptEnds             []Event           // answers, refusals and cancels at cores, in order
+	coreEnd, coreRelease    map[string]*Event // by core: the end of the call there; the release that the core wrote
 	coreAnswers             []Event
-	releasedAt              []Event // cores that the controller released it at
-	all                     []Event
+	controllerReleases      []Event // releases of the standing call that cores received
+	allEvents               []Event
 }
 
-// checker holds the records of a trial by what they are looked up by.
+// checker holds the events of a trial, indexed for the rules, and the verdict so far.
 type checker struct {
 	CheckConfig
 	events    []Event
 	calls     map[string]*callRecord
-	order     []string
+	callIDs   []string           // in the order of their first events
 	processes map[string][]Event // by controller: start, ready, signal, exit
 	faults    map[string][]Event // by core
 	discovery []Event            // changes and faults
 	verdict   Verdict
 }
 
-// Check judges a trial from its records.
+// Check evaluates the rules on the events of a trial, which must be in order of time. It returns the findings in order
+// of time.
 func Check(events []Event, config CheckConfig) Verdict {
 	c := &checker{CheckConfig: config, events: events, calls: map[string]*callRecord{}, processes: map[string][]Event{},
 		faults: map[string][]Event{}, verdict: Verdict{Excused: map[string]int{}}}
-	c.sortEvents()
-	for _, id := range c.order {
+	c.indexEvents()
+	for _, id := range c.callIDs {
 		c.checkCall(c.calls[id])
 	}
 	c.checkDrains()
-	c.checkCold()
+	c.checkColdStarts()
 	c.checkProcesses()
 	sort.SliceStable(c.verdict.Findings, func(i, j int) bool { return c.verdict.Findings[i].At < c.verdict.Findings[j].At })
 	return c.verdict
 }
 
-func (c *checker) slack() time.Duration { return slack + c.Lag }
+// tolerance returns the time that is added to every time limit.
+func (c *checker) tolerance() time.Duration { return tolerance + c.Lag }
 
-func (c *checker) find(f Finding) { c.verdict.Findings = append(c.verdict.Findings, f) }
+func (c *checker) addFinding(f Finding) { c.verdict.Findings = append(c.verdict.Findings, f) }
 
-func (c *checker) excuse(reason string) { c.verdict.Excused[reason]++ }
+// countExcuse counts a breach that is excused for a reason.
+func (c *checker) countExcuse(reason string) { c.verdict.Excused[reason]++ }
 
-func (c *checker) call(id string) *callRecord {
+// recordOf returns the record of a call and creates it on first use.
+func (c *checker) recordOf(id string) *callRecord {
 	r := c.calls[id]
 	if r == nil {
-		r = &callRecord{id: id, end: map[string]*Event{}, told: map[string]*Event{}}
+		r = &callRecord{id: id, coreEnd: map[string]*Event{}, coreRelease: map[string]*Event{}}
 		c.calls[id] = r
-		c.order = append(c.order, id)
+		c.callIDs = append(c.callIDs, id)
 	}
 	return r
 }
 
-func (c *checker) sortEvents() {
+// indexEvents assigns the events to calls, processes, cores and discovery.
+func (c *checker) indexEvents() {
 	for i := range c.events {
 		e := &c.events[i]
 		if e.Call != "" {
-			c.sortCall(c.call(e.Call), e)
+			c.indexCallEvent(c.recordOf(e.Call), e)
 		}
 		switch e.Kind {
 		case ProcessStart, ProcessReady, ProcessSignal, ProcessExit:
@@ -173,47 +178,48 @@
 	}
 }
 
-func (c *checker) sortCall(r *callRecord, e *Event) {
-	r.all = append(r.all, *e)
-	first := func(at **Event) {
-		if *at == nil {
-			*at = e
+// indexCallEvent adds an event to the record of its call.
+func (c *checker) indexCallEvent(r *callRecord, e *Event) {
+	r.allEvents = append(r.allEvents, *e)
+	setFirst := func(target **Event) {
+		if *target == nil {
+			*target = e
 		}
 	}
 	switch e.Kind {
 	case CallerSent:
-		first(&r.sent)
+		setFirst(&r.sent)
 	case CallerAnswer:
 		r.answers = append(r.answers, *e)
 	case CallerCancel:
-		first(&r.cancel)
+		setFirst(&r.cancel)
 	case CallerRelease:
-		first(&r.release)
+		setFirst(&r.release)
 	case CallerHangup:
-		first(&r.hangup)
+		setFirst(&r.hangup)
 	case CallerLost:
-		first(&r.lost)
+		setFirst(&r.lost)
 	case CoreSetup:
 		r.setups = append(r.setups, *e)
 	case CoreAnswer:
 		r.coreAnswers = append(r.coreAnswers, *e)
-		r.ends = append(r.ends, *e)
+		r.attemptEnds = append(r.attemptEnds, *e)
 	case CoreRefuse, CoreGivenUp:
-		r.ends = append(r.ends, *e)
+		r.attemptEnds = append(r.attemptEnds, *e)
 	case CoreReleased:
-		r.releasedAt = append(r.releasedAt, *e)
+		r.controllerReleases = append(r.controllerReleases, *e)
 	case CoreEnd:
-		if r.end[e.Core] == nil {
-			r.end[e.Core] = e
+		if r.coreEnd[e.Core] == nil {
+			r.coreEnd[e.Core] = e
 		}
 	case CoreRelease:
-		if r.told[e.Core] == nil {
-			r.told[e.Core] = e
+		if r.coreRelease[e.Core] == nil {
+			r.coreRelease[e.Core] = e
 		}
 	}
 }
 
-// checkProcesses checks how processes ended, and what they used.
+// checkProcesses checks how long processes took to get ready, how they ended, and their use of memory and descriptors.
 func (c *checker) checkProcesses() {
 	for name, events := range c.processes {
 		var start *Event
@@ -222,24 +228,24 @@
 			case ProcessStart:
 				start = &events[i]
 			case ProcessReady:
-				if took := e.At - start.At; took > readyWithin+c.slack() {
-					c.find(Finding{Rule: RuleCrash, At: e.At, Controller: name, Text: fmt.Sprintf("ready after %v", took)})
+				if took := e.At - start.At; took > readyWithin+c.tolerance() {
+					c.addFinding(Finding{Rule: RuleCrash, At: e.At, Controller: name, Text: fmt.Sprintf("ready after %v", took)})
 				}
 			case ProcessExit:
 				if e.Text != "0" && e.Text != "signal: killed" {
-					c.find(Finding{Rule: RuleCrash, At: e.At, Controller: name, Text: "process ended: " + e.Text})
+					c.addFinding(Finding{Rule: RuleCrash, At: e.At, Controller: name, Text: "process ended: " + e.Text})
 				}
 			}
 		}
 	}
-	over := map[string]bool{}
+	reported := map[string]bool{}
 	for _, e := range c.events {
-		if e.Kind != Usage || over[e.Controller] {
+		if e.Kind != Usage || reported[e.Controller] {
 			continue
 		}
 		if memory := int64(c.Settings.Memory) << 20; e.Memory > memory || e.Descriptors > c.Settings.Descriptors {
-			over[e.Controller] = true
-			c.find(Finding{Rule: RuleLimit, At: e.At, Controller: e.Controller,
+			reported[e.Controller] = true
+			c.addFinding(Finding{Rule: RuleLimit, At: e.At, Controller: e.Controller,
 				Text: fmt.Sprintf("%d MiB and %d descriptors", e.Memory>>20, e.Descriptors)})
 		}
 	}
--- a/internal/faulttrial/check_calls.go
+++ b/internal/faulttrial/check_calls.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
+// checkCall counts a call and evaluates its rules.
 func (c *checker) checkCall(r *callRecord) {
-	c.verdict.Sendings += len(r.setups)
+	c.verdict.CoreSetups += len(r.setups)
 	if r.sent == nil {
-		return // a set-up that its caller could not write whole
+		return // its caller could not write the whole set-up
 	}
 	c.verdict.Calls++
 	c.checkAnswer(r)
@@ -19,63 +20,65 @@
 	c.checkStanding(r)
 }
 
-func (c *checker) finding(r *callRecord, rule Rule, at time.Duration, core, text string) {
-	c.find(Finding{Rule: rule, At: at, Call: r.id, Controller: r.sent.Controller, Core: core, Text: text, Lines: r.all})
+// addCallFinding adds a finding on a call, with all of the call's events as evidence.
+func (c *checker) addCallFinding(r *callRecord, rule Rule, at time.Duration, core, text string) {
+	c.addFinding(Finding{Rule: rule, At: at, Call: r.id, Controller: r.sent.Controller, Core: core, Text: text, Evidence: r.allEvents})
 }
 
-// checkAnswer checks that a set-up has one final answer, in time, and that a core made it.
+// checkAnswer checks that a set-up has exactly one final answer, in time, and that a positive one came from a core.
 func (c *checker) checkAnswer(r *callRecord) {
 	if len(r.answers) > 1 {
-		c.finding(r, RuleSecond, r.answers[1].At, "", "a second final answer")
+		c.addCallFinding(r, RuleSecondAnswer, r.answers[1].At, "", "a second final answer")
 	}
 	if len(r.answers) == 0 {
 		c.checkUnanswered(r)
 		return
 	}
-	a := r.answers[0]
+	answer := r.answers[0]
 	switch {
-	case a.Status < 300:
+	case answer.Status < 300:
 		c.verdict.Stood++
-		made := slices.ContainsFunc(r.coreAnswers, func(e Event) bool { return e.Text == a.Text && a.Text != "" })
-		if !made {
-			c.finding(r, RuleForeign, a.At, "", "answered with what no core made")
+		madeByCore := slices.ContainsFunc(r.coreAnswers, func(e Event) bool { return e.Text == answer.Text && answer.Text != "" })
+		if !madeByCore {
+			c.addCallFinding(r, RuleForeign, answer.At, "", "answered with a body that no core sent")
 		}
-	case a.Status == 503 || a.Status == 480:
+	case answer.Status == 503 || answer.Status == 480:
 		c.verdict.Refused++
-	case a.Status != 487:
+	case answer.Status != 487:
 		c.verdict.Failed++
 	}
-	if late := a.At - (r.sent.At + r.sent.Deadline); r.cancel == nil && late > lostAfter+c.slack() {
-		c.finding(r, RuleAnswer, a.At, "", fmt.Sprintf("answered %v after its time", late.Round(time.Millisecond)))
+	if late := answer.At - (r.sent.At + r.sent.Deadline); r.cancel == nil && late > answerGrace+c.tolerance() {
+		c.addCallFinding(r, RuleLost, answer.At, "", fmt.Sprintf("answered %v after its deadline", late.Round(time.Millisecond)))
 	}
 }
 
-// checkUnanswered judges a set-up without a final answer.
+// checkUnanswered adds a finding for a set-up without a final answer, unless its caller cancelled it, the trial ended
+// first, or the end of the process or the connection excuses it.
 func (c *checker) checkUnanswered(r *callRecord) {
-	due := r.sent.At + r.sent.Deadline + lostAfter + c.slack()
+	due := r.sent.At + r.sent.Deadline + answerGrace + c.tolerance()
 	if r.cancel != nil {
-		c.excuse("set-up given up by its caller")
+		c.countExcuse("set-up cancelled by its caller")
 		return
 	}
-	last := c.events[len(c.events)-1].At
-	if due > last {
-		c.excuse("trial ended before the set-up's time")
+	trialEnd := c.events[len(c.events)-1].At
+	if due > trialEnd {
+		c.countExcuse("trial ended before the set-up's deadline")
 		return
 	}
-	exit, term := c.exitAfter(r.sent.Controller, r.sent.At-slack)
-	killed := exit != nil && (exit.At <= due || r.lost != nil && exit.At <= r.lost.At+c.slack())
+	exit, term := c.nextExit(r.sent.Controller, r.sent.At-tolerance)
+	killed := exit != nil && (exit.At <= due || r.lost != nil && exit.At <= r.lost.At+c.tolerance())
 	switch {
-	case killed && r.sent.At >= exit.At-slack:
-		c.excuse("set-up sent to a process that had ended")
+	case killed && r.sent.At >= exit.At-tolerance:
+		c.countExcuse("set-up sent to a process that had ended")
 		return
 	case killed && term == nil:
-		c.excuse("process killed without a warning")
+		c.countExcuse("process killed without SIGTERM")
 		return
-	case killed && r.sent.At <= term.At+shutdownMargin && r.sent.Deadline > shutdownCounts:
-		c.excuse("killed before the set-up's own time")
+	case killed && r.sent.At <= term.At+shutdownMargin && r.sent.Deadline > maxCountedDeadline:
+		c.countExcuse("process killed before the set-up's own deadline")
 		return
 	case r.lost != nil && strings.HasPrefix(r.lost.Text, "crossed"):
-		c.excuse("set-up crossed a close, and the controller took no new connection")
+		c.countExcuse("set-up crossed a close, and the controller accepted no new connection")
 		return
 	}
 	text := "no final answer"
@@ -83,13 +86,14 @@
 		text = r.lost.Text + " without a final answer"
 	}
 	if killed {
-		text += fmt.Sprintf("; process ended at %.3f, told to at %.3f", exit.At.Seconds(), term.At.Seconds())
+		text += fmt.Sprintf("; process ended at %.3f, SIGTERM at %.3f", exit.At.Seconds(), term.At.Seconds())
 	}
-	c.finding(r, RuleAnswer, due, "", text)
+	c.addCallFinding(r, RuleLost, due, "", text)
 }
 
-// exitAfter is the first end of a controller's process after a time, and the SIGTERM before that, if any.
-func (c *checker) exitAfter(controller string, at time.Duration) (exit, term *Event) {
+// nextExit returns the first exit of a controller's process at or after a time, and the first SIGTERM of that process
+// before it. Either is nil if there is none.
+func (c *checker) nextExit(controller string, at time.Duration) (exit, term *Event) {
 	for i, e := range c.processes[controller] {
 		switch {
 		case e.Kind == ProcessStart:
@@ -103,86 +107,90 @@
 	return nil, nil
 }
 
-// checkAttempts checks that attempts follow each other, and not too soon.
+// checkAttempts checks that a call's attempts do not overlap, and that a new one waits for minResendWait after a
+// timeout, reset or cancel.
 func (c *checker) checkAttempts(r *callRecord) {
 	for i := 1; i < len(r.setups); i++ {
-		before, next := r.setups[i-1], r.setups[i]
-		end := c.attemptEnd(r, before)
-		if end == nil || end.At > next.At+c.slack() {
-			if c.silentDuring(before.Core, before.At, next.At+c.slack()) {
-				c.excuse("attempt at a silent core: its end is not seen")
+		previous, next := r.setups[i-1], r.setups[i]
+		end := c.attemptEnd(r, previous)
+		if end == nil || end.At > next.At+c.tolerance() {
+			if c.faultyDuring(previous.Core, previous.At, next.At+c.tolerance()) {
+				c.countExcuse("attempt at an unresponsive core: its end is not visible")
 			} else if end == nil || end.Kind != CoreGivenUp {
-				c.finding(r, RuleOverlap, next.At, next.Core, "a second attempt while one is out at "+before.Core)
+				c.addCallFinding(r, RuleOverlap, next.At, next.Core, "a second attempt while one is open at "+previous.Core)
 			} else {
-				c.finding(r, RuleOverlap, next.At, next.Core, fmt.Sprintf("a second attempt %v before the first at %s is given up", end.At-next.At, before.Core))
+				c.addCallFinding(r, RuleOverlap, next.At, next.Core, fmt.Sprintf("a second attempt %v before the first at %s is abandoned", end.At-next.At, previous.Core))
 			}
 			continue
 		}
 		reset := end.Kind == CoreGivenUp || end.Kind == CoreRefuse && end.Cause == 41
-		if gap := next.At - end.At; reset && gap < resendHold-c.slack() && !c.silentDuring(before.Core, before.At, next.At) {
-			c.finding(r, RuleHold, next.At, next.Core, fmt.Sprintf("sent again %v after %s gave up", gap.Round(time.Millisecond), before.Core))
+		if gap := next.At - end.At; reset && gap < minResendWait-c.tolerance() && !c.faultyDuring(previous.Core, previous.At, next.At) {
+			c.addCallFinding(r, RuleHold, next.At, next.Core, fmt.Sprintf("sent again %v after the attempt at %s failed", gap.Round(time.Millisecond), previous.Core))
 		}
 	}
 }
 
-// attemptEnd is the end of an attempt at its core.
+// attemptEnd returns the event that ended an attempt at its core, or nil.
 func (c *checker) attemptEnd(r *callRecord, setup Event) *Event {
-	for i, e := range r.ends {
+	for i, e := range r.attemptEnds {
 		if e.Core == setup.Core && e.At >= setup.At {
-			return &r.ends[i]
+			return &r.attemptEnds[i]
 		}
 	}
 	return nil
 }
 
-// silentDuring tells whether a core was faulty at some time in a span.
-func (c *checker) silentDuring(core string, from, to time.Duration) bool {
-	silent, late := false, false
+// faultyDuring reports whether a core was affected by a fault at some time in a span: by an outage or by delayed
+// connects, each with the staleReadWindow after it, or by a disturbance of its idle connections.
+func (c *checker) faultyDuring(core string, from, to time.Duration) bool {
+	outage, slowConnect := false, false
 	for _, e := range c.faults[core] {
 		if e.At > to {
 			break
 		}
 		switch {
-		case lossText(e.Text):
-			silent = true
+		case isOutageText(e.Text):
+			outage = true
 		case e.Text == "back":
-			silent = false
-			if e.At >= from-staleRead {
-				return true // what had come meanwhile is read late
+			outage = false
+			if e.At >= from-staleReadWindow {
+				return true // what arrived during the outage is read late
 			}
-		case strings.HasSuffix(e.Text, "idle connections") && e.At >= from-slack:
+		case strings.HasSuffix(e.Text, "idle connections") && e.At >= from-tolerance:
 			return true
 		case strings.HasPrefix(e.Text, "connections come up"):
-			late = !strings.HasPrefix(e.Text, "connections come up 0s")
-			if !late && e.At >= from-staleRead {
+			slowConnect = !strings.HasPrefix(e.Text, "connections come up 0s")
+			if !slowConnect && e.At >= from-staleReadWindow {
 				return true
 			}
 		}
 	}
-	return silent || late
+	return outage || slowConnect
 }
 
-// silence is the longest span in which a core was silent, of those that overlap a span.
-func (c *checker) silence(core string, from, to time.Duration) time.Duration {
-	longest, began := time.Duration(0), time.Duration(-1)
+// longestOutage returns the length of a core's longest outage among those that overlap a span. One that has not ended
+// counts up to the end of the span.
+func (c *checker) longestOutage(core string, from, to time.Duration) time.Duration {
+	longest, outageStart := time.Duration(0), time.Duration(-1)
 	for _, e := range c.faults[core] {
 		switch {
-		case lossText(e.Text) && began < 0:
-			began = e.At
-		case e.Text == "back" && began >= 0:
-			if e.At >= from && began <= to {
-				longest = max(longest, e.At-began)
+		case isOutageText(e.Text) && outageStart < 0:
+			outageStart = e.At
+		case e.Text == "back" && outageStart >= 0:
+			if e.At >= from && outageStart <= to {
+				longest = max(longest, e.At-outageStart)
 			}
-			began = -1
+			outageStart = -1
 		}
 	}
-	if began >= 0 && began <= to {
-		longest = max(longest, to-began)
+	if outageStart >= 0 && outageStart <= to {
+		longest = max(longest, to-outageStart)
 	}
 	return longest
 }
 
-// checkRelease checks that the end of a call that stood is told in time, and that it was over.
+// checkRelease checks that the caller of a standing call is released in time after the call's end, and not while its
+// core keeps the call.
 func (c *checker) checkRelease(r *callRecord) {
 	if len(r.answers) == 0 || r.answers[0].Status >= 300 {
 		return
@@ -193,19 +201,19 @@
 	core := ""
 	for _, e := range r.coreAnswers {
 		if core == "" || e.Text == r.answers[0].Text {
-			core = e.Core // others may have answered, unheard
+			core = e.Core // answers of other cores may not have reached the caller
 		}
 	}
-	end, told := r.end[core], r.told[core]
-	last := c.events[len(c.events)-1].At
-	if end == nil || r.release != nil && r.release.At < end.At {
+	coreEnd, coreRelease := r.coreEnd[core], r.coreRelease[core]
+	trialEnd := c.events[len(c.events)-1].At
+	if coreEnd == nil || r.release != nil && r.release.At < coreEnd.At {
 		if r.release == nil {
-			return // it stands at the trial's end, or its controller was killed
+			return // the call stands at the trial's end, or its controller was killed
 		}
 		c.verdict.Cut++
-		silent := c.silence(core, r.answers[0].At, r.release.At)
-		if silent >= backInTime {
-			c.excuse("call on a core that was silent for long")
+		outage := c.longestOutage(core, r.answers[0].At, r.release.At)
+		if outage >= maxToleratedOutage {
+			c.countExcuse("call on a core that was unresponsive for too long")
 			return
 		}
 		for _, e := range c.faults[core] {
@@ -213,75 +221,75 @@
 				return
 			}
 		}
-		c.finding(r, RuleGivenUp, r.release.At, core, fmt.Sprintf("released though its core was alive (silent for %v at most)", silent.Round(time.Millisecond)))
+		c.addCallFinding(r, RuleGivenUp, r.release.At, core, fmt.Sprintf("released although its core was alive (unresponsive for %v at most)", outage.Round(time.Millisecond)))
 		return
 	}
-	due, why := end.At+releaseEnd, "8 s after its end"
-	if told != nil && told.At+releaseTold < due {
-		due, why = told.At+releaseTold, "1 s after its release"
+	due, limit := coreEnd.At+releaseLimit, "8 s after the call's end"
+	if coreRelease != nil && coreRelease.At+releaseRelayLimit < due {
+		due, limit = coreRelease.At+releaseRelayLimit, "1 s after the core's release"
 	}
-	due += c.slack()
+	due += c.tolerance()
 	if r.release != nil && r.release.At <= due {
 		return
 	}
-	if due > last {
-		c.excuse("trial ended before the release was due")
+	if due > trialEnd {
+		c.countExcuse("trial ended before the release was due")
 		return
 	}
-	text := "its end was not told within " + why
-	if exit, _ := c.exitAfter(r.sent.Controller, r.answers[0].At); exit != nil && exit.At <= due {
-		excuse := c.excuseExit(r, exit, told, core)
+	text := "its caller was not released within " + limit
+	if exit, _ := c.nextExit(r.sent.Controller, r.answers[0].At); exit != nil && exit.At <= due {
+		excuse := c.exitExcuse(r, exit, coreRelease, core)
 		if excuse != "" {
-			c.excuse(excuse)
+			c.countExcuse(excuse)
 			return
 		}
-		due, text = exit.At, "its controller ended by itself without telling it"
+		due, text = exit.At, "its controller exited without releasing the caller"
 	}
 	if r.release != nil {
-		text += fmt.Sprintf(" (told %v after its end)", (r.release.At - end.At).Round(time.Millisecond))
+		text += fmt.Sprintf(" (released %v after the call's end)", (r.release.At - coreEnd.At).Round(time.Millisecond))
 	}
-	c.finding(r, RuleRelease, due, core, text+": "+end.Text)
+	c.addCallFinding(r, RuleRelease, due, core, text+": "+coreEnd.Text)
 }
 
-// excuseExit is why a controller need not have told of a call's end before it ended itself, or "". One that ends by itself
-// has waited for the ends of its calls.
-func (c *checker) excuseExit(r *callRecord, exit, told *Event, core string) string {
+// exitExcuse returns the reason why a controller did not have to release a call's caller before its process ended, or
+// "". A process that exits on its own must have waited for the ends of its calls.
+func (c *checker) exitExcuse(r *callRecord, exit, coreRelease *Event, core string) string {
 	switch {
-	case told == nil || told.At >= exit.At:
-		return excuseRestarted
+	case coreRelease == nil || coreRelease.At >= exit.At:
+		return excuseEndedAfterExit
 	case exit.Text != "0":
 		return excuseKilled
-	case c.silentDuring(core, told.At, exit.At):
-		return excuseUnread
+	case c.faultyDuring(core, coreRelease.At, exit.At):
+		return excuseCoreFaulty
 	case slices.ContainsFunc(c.events, func(e Event) bool {
 		return e.Kind == Fault && e.Controller == r.sent.Controller && e.Text == textMuted && e.At <= exit.At
 	}):
-		return excuseMuted
+		return excuseConnectionCut
 	}
 	return ""
 }
 
-// checkStanding checks that no call stands at a core that its caller does not have there.
+// checkStanding checks that a call is released at each core whose answer did not reach the caller.
 func (c *checker) checkStanding(r *callRecord) {
 	for _, answer := range r.coreAnswers {
-		heard := slices.ContainsFunc(r.answers, func(a Event) bool { return a.Status < 300 && a.Text == answer.Text })
-		due := answer.At + letGoWithin + c.slack()
+		received := slices.ContainsFunc(r.answers, func(a Event) bool { return a.Status < 300 && a.Text == answer.Text })
+		due := answer.At + undeliveredAnswerLimit + c.tolerance()
 		if len(r.answers) > 0 {
-			due = max(due, r.answers[0].At+letGoWithin+c.slack())
+			due = max(due, r.answers[0].At+undeliveredAnswerLimit+c.tolerance())
 		}
-		over := func(e Event) bool { return e.Core == answer.Core && e.At >= answer.At && e.At <= due }
-		end := r.end[answer.Core]
-		if heard || due > c.events[len(c.events)-1].At || slices.ContainsFunc(r.releasedAt, over) || end != nil && over(*end) {
+		endsInTime := func(e Event) bool { return e.Core == answer.Core && e.At >= answer.At && e.At <= due }
+		coreEnd := r.coreEnd[answer.Core]
+		if received || due > c.events[len(c.events)-1].At || slices.ContainsFunc(r.controllerReleases, endsInTime) || coreEnd != nil && endsInTime(*coreEnd) {
 			continue
 		}
-		if exit, _ := c.exitAfter(r.sent.Controller, answer.At); exit != nil && exit.At <= due {
-			c.excuse("the controller of a call that stands unheard has ended")
+		if exit, _ := c.nextExit(r.sent.Controller, answer.At); exit != nil && exit.At <= due {
+			c.countExcuse("the controller of a call whose answer its caller did not get has ended")
 			continue
 		}
-		if c.silentDuring(answer.Core, answer.At, due) {
-			c.excuse("a call stands unheard at a core that was faulty")
+		if c.faultyDuring(answer.Core, answer.At, due) {
+			c.countExcuse("a call whose answer its caller did not get stands at a core that was faulty")
 			continue
 		}
-		c.finding(r, RuleStanding, due, answer.Core, fmt.Sprintf("it stands there for %v, unheard", (due-answer.At).Round(time.Millisecond)))
+		c.addCallFinding(r, RuleLeftStanding, due, answer.Core, fmt.Sprintf("the call stands there for %v, and its caller did not get the answer", (due-answer.At).Round(time.Millisecond)))
 	}
 }
--- a/internal/faulttrial/check_cores.go
+++ b/internal/faulttrial/check_cores.go
@@ -6,72 +6,74 @@
 	"time"
 )
 
-// checkDrains checks that nothing new goes to a core later than 1 s after the controller counts as told.
+// checkDrains checks that a controller sends no set-up to a draining or gone core later than drainGrace after it counts
+// as notified of the change.
 func (c *checker) checkDrains() {
-	withdrawn := map[string]Event{} // by core: the change that took it out
+	withdrawn := map[string]Event{} // by core: the change that withdrew it
 	for _, e := range c.discovery {
 		if e.Kind != DiscoverySet {
 			continue
 		}
-		if _, before := withdrawn[e.Core]; e.Text == string(Ready) {
+		if _, already := withdrawn[e.Core]; e.Text == string(Ready) {
 			delete(withdrawn, e.Core)
-		} else if !before {
+		} else if !already {
 			withdrawn[e.Core] = e
 		}
 	}
-	told := map[string]time.Duration{}
+	notified := map[string]time.Duration{}
 	for _, e := range c.events {
 		change, ok := withdrawn[e.Core]
 		if e.Kind != CoreSetup || !ok || e.At < change.At {
 			continue
 		}
 		key := e.Controller + " " + e.Core
-		at, known := told[key]
+		at, known := notified[key]
 		if !known {
-			at = c.toldAt(e.Controller, change)
-			told[key] = at
+			at = c.notifiedAt(e.Controller, change)
+			notified[key] = at
 		}
-		if e.At > at+drainGrace+c.slack() {
-			c.find(Finding{Rule: RuleDrain, At: e.At, Call: e.Call, Controller: e.Controller, Core: e.Core,
-				Text:  fmt.Sprintf("set-up %v after the controller counted as told", (e.At - at).Round(time.Millisecond)),
-				Lines: append([]Event{change, e}, c.calls[e.Call].all...)})
+		if e.At > at+drainGrace+c.tolerance() {
+			c.addFinding(Finding{Rule: RuleDrain, At: e.At, Call: e.Call, Controller: e.Controller, Core: e.Core,
+				Text:     fmt.Sprintf("set-up %v after the controller counted as notified", (e.At - at).Round(time.Millisecond)),
+				Evidence: append([]Event{change, e}, c.calls[e.Call].allEvents...)})
 		}
 	}
 }
 
-// toldAt is when a controller counts as told of a change.
-func (c *checker) toldAt(controller string, change Event) time.Duration {
-	at := change.At + toldAfter
+// notifiedAt returns the time from which a controller counts as notified of a membership change: when discovery sent it
+// an answer with the change, or else a limit that depends on faults of discovery, reloads and restarts.
+func (c *checker) notifiedAt(controller string, change Event) time.Duration {
+	at := change.At + notifiedAfter
 	reachable := change.At
 	faulty := false
 	for _, e := range c.discovery {
 		if e.Kind != DiscoveryFault {
 			continue
 		}
-		good := strings.HasPrefix(e.Text, string(Prompt))
+		prompt := strings.HasPrefix(e.Text, string(Prompt))
 		switch {
-		case !good && e.At <= at:
+		case !prompt && e.At <= at:
 			faulty = true
-		case good && faulty && e.At > change.At-toldAfterOutage:
+		case prompt && faulty && e.At > change.At-notifiedAfterOutage:
 			reachable = max(reachable, e.At)
-			at = max(at, reachable+toldAfterOutage)
+			at = max(at, reachable+notifiedAfterOutage)
 			faulty = false
-		case good:
+		case prompt:
 			faulty = false
 		}
 	}
 	if faulty {
-		at = c.events[len(c.events)-1].At + time.Hour // not back before the trial's end
+		at = c.events[len(c.events)-1].At + time.Hour // discovery does not recover before the trial's end
 	}
 	for _, e := range c.processes[controller] {
-		if e.Kind == ProcessSignal && e.Text == "hangup" && e.At > change.At-toldAfterMove && e.At < at {
-			at = max(at, e.At+toldAfterMove)
+		if e.Kind == ProcessSignal && e.Text == "hangup" && e.At > change.At-notifiedAfterReload && e.At < at {
+			at = max(at, e.At+notifiedAfterReload)
 		}
 		if e.Kind == ProcessStart && e.At > change.At && e.At < at {
-			at = max(at, e.At) // the list of its start holds the change
+			at = max(at, e.At) // the membership list that it reads at its start holds the change
 		}
 	}
-	for _, e := range c.events { // an answer that holds it tells it in any case
+	for _, e := range c.events { // an answer that holds the change notifies it in any case
 		if e.Kind == DiscoverySent && e.Controller == controller && e.Serial >= change.Serial && e.At < at {
 			return e.At
 		}
@@ -79,8 +81,9 @@
 	return at
 }
 
-// checkCold checks that a core that has just started is not pushed over.
-func (c *checker) checkCold() {
+// checkColdStarts checks that no core that has just started is overloaded. It does nothing where the capacity is not
+// known.
+func (c *checker) checkColdStarts() {
 	if c.Capacity <= 0 {
 		return
 	}
@@ -93,55 +96,59 @@
 	}
 }
 
+// checkColdStart checks one start of a core: while it warms up, no window of fallWindow may hold more set-ups than the
+// core bears. At most one finding is added.
 func (c *checker) checkColdStart(core string, start time.Duration) {
-	told := c.toldOfStart(core, start)
+	notified := c.startNotifiedAt(core, start)
 	var window []Event
 	for _, e := range c.events {
-		if e.Kind != CoreSetup || e.Core != core || e.At < start || e.At > start+warmAfter {
+		if e.Kind != CoreSetup || e.Core != core || e.At < start || e.At > start+warmUpTime {
 			continue
 		}
 		window = append(window, e)
 		for window[0].At < e.At-fallWindow {
 			window = window[1:]
 		}
-		warmth := coldShare + (1-coldShare)*float64(e.At-start)/float64(warmAfter)
-		most := mostSetups(fallMultiple * c.Capacity * warmth * fallWindow.Seconds())
-		if float64(len(window)) <= most {
+		capacityShare := coldShare + (1-coldShare)*float64(e.At-start)/float64(warmUpTime)
+		limit := maxSetups(fallMultiple * c.Capacity * capacityShare * fallWindow.Seconds())
+		if float64(len(window)) <= limit {
 			continue
 		}
-		fromTold := 0
+		fromNotified := 0
 		for _, w := range window {
-			if at, ok := told[w.Controller]; ok && w.At >= at {
-				fromTold++
+			if at, ok := notified[w.Controller]; ok && w.At >= at {
+				fromNotified++
 			}
 		}
-		if float64(fromTold) <= toldShare*float64(len(window)) {
-			c.excuse("a core was pushed over by controllers that were not told of its start")
+		if float64(fromNotified) <= minNotifiedShare*float64(len(window)) {
+			c.countExcuse("a core was overloaded by controllers that were not notified of its start")
 			return
 		}
-		c.find(Finding{Rule: RuleCold, At: e.At, Call: e.Call, Controller: e.Controller, Core: core,
-			Text: fmt.Sprintf("%d set-ups in %v, %.0f are allowed; %d from controllers that were told", len(window), fallWindow, most, fromTold)})
+		c.addFinding(Finding{Rule: RuleCold, At: e.At, Call: e.Call, Controller: e.Controller, Core: core,
+			Text: fmt.Sprintf("%d set-ups in %v, %.0f are allowed; %d from controllers that were notified", len(window), fallWindow, limit, fromNotified)})
 		return
 	}
 }
 
-// toldOfStart is when controllers count as told of a core's start. Those that never do are left out.
-func (c *checker) toldOfStart(core string, start time.Duration) map[string]time.Duration {
-	told := map[string]time.Duration{}
+// startNotifiedAt returns the time from which each controller counts as notified of a core's start. The map is empty if
+// discovery never listed the start.
+func (c *checker) startNotifiedAt(core string, start time.Duration) map[string]time.Duration {
+	notified := map[string]time.Duration{}
 	for _, e := range c.discovery {
 		if e.Kind != DiscoverySet || e.Core != core || e.At < start || e.Text != string(Ready) {
 			continue
 		}
 		for controller := range c.processes {
-			told[controller] = c.toldAt(controller, e)
+			notified[controller] = c.notifiedAt(controller, e)
 		}
 		break
 	}
-	return told
+	return notified
 }
 
-// mostSetups is the most set-ups that a core bears where the settings allow it n.
-func mostSetups(n float64) float64 {
+// maxSetups returns how many set-ups the rule on cold cores allows where the settings allow n: n + f*sqrt(n) + f as a
+// margin for chance, where f is 2, or 3 below n = 30.
+func maxSetups(n float64) float64 {
 	factor := 2.0
 	if n < 30 {
 		factor = 3
--- a/internal/faulttrial/controller.go
+++ b/internal/faulttrial/controller.go
@@ -45,7 +45,7 @@
 
 // KillAfter is the time from SIGTERM to the earliest SIGKILL.
 func (s Settings) KillAfter() time.Duration {
-	return min(s.LongestDeadline(), shutdownCounts) + shutdownMargin
+	return min(s.LongestDeadline(), maxCountedDeadline) + shutdownMargin
 }
 
 // Controller is one border controller as it is deployed: the program's process, with files of its own.
--- a/internal/faulttrial/faulty/main.go
+++ b/internal/faulttrial/faulty/main.go
@@ -1,5 +1,5 @@
-// Command faulty is a controller that breaks one rule, for tests of the fault trials: the program as it is deployed, behind a
-// relay that twists what it says. Which rule, and the program's path, are set when it is built.
+// Command faulty is a controller that breaks one rule, for tests of the fault trials. It runs the program as it is
+// deployed behind a relay that alters its messages. The fault and the program's path are set at build time.
 package main
 
 import (
@@ -19,11 +19,11 @@
 	"syscall"
 )
 
-// The faults.
+// The values of fault.
 const (
-	faultAnswersTwice  = "answers-twice"  // each answer that a call stands is sent twice
-	faultLosesReleases = "loses-releases" // once it was told to end, no release reaches a caller
-	faultIgnoresDrains = "ignores-drains" // discovery's first answer is all that it ever hears
+	faultAnswersTwice  = "answers-twice"  // each positive answer is sent twice
+	faultLosesReleases = "loses-releases" // after SIGTERM, no release reaches a caller
+	faultIgnoresDrains = "ignores-drains" // discovery's first answer is repeated for every query
 )
 
 // Set with -ldflags -X.
@@ -32,7 +32,7 @@
 	program string
 )
 
-const mostMessage = 16 << 10
+const maxMessage = 16 << 10 // bytes, of a SIP body or a discovery message
 
 func main() {
 	if err := run(); err != nil {
@@ -41,12 +41,13 @@
 	}
 }
 
+// run starts the program behind the relays, passes SIGTERM on to it and returns its result.
 func run() error {
 	listener, err := net.Listen("tcp", os.Getenv("GW_LISTEN"))
 	if err != nil {
 		return err
 	}
-	inner, err := freeAddress(listener.Addr())
+	programAddress, err := freeAddress(listener.Addr())
 	if err != nil {
 		return err
 	}
@@ -55,40 +56,41 @@
 		return err
 	}
 	command := exec.Command(program)
-	command.Env = append(os.Environ(), "GW_LISTEN="+inner, "GW_CONFIG="+config)
+	command.Env = append(os.Environ(), "GW_LISTEN="+programAddress, "GW_CONFIG="+config)
 	command.Stdout, command.Stderr = os.Stdout, os.Stderr
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it ends with this process
 	if err := command.Start(); err != nil {
 		return err
 	}
-	r := &relay{inner: inner}
+	r := &relay{programAddress: programAddress}
 	go r.accept(listener)
-	told := make(chan os.Signal, 1)
-	signal.Notify(told, syscall.SIGTERM)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM)
 	go func() {
-		for s := range told {
-			r.ending.Store(true)
-			_ = command.Process.Signal(s) // it may have ended
+		for s := range signals {
+			r.terminating.Store(true)
+			_ = command.Process.Signal(s) // the program may have exited
 		}
 	}()
 	return command.Wait()
 }
 
-// freeAddress is an address at the same host that nobody listens at now.
-func freeAddress(beside net.Addr) (string, error) {
-	l, err := net.Listen("tcp", net.JoinHostPort(beside.(*net.TCPAddr).IP.String(), "0"))
+// freeAddress returns an address of the same host with a port that was free a moment ago.
+func freeAddress(near net.Addr) (string, error) {
+	l, err := net.Listen("tcp", net.JoinHostPort(near.(*net.TCPAddr).IP.String(), "0"))
 	if err != nil {
 		return "", err
 	}
 	return l.Addr().String(), l.Close()
 }
 
-// relay stands between callers and the program.
+// relay passes the messages of callers and the program on and applies the fault to those of the program.
 type relay struct {
-	inner  string
-	ending atomic.Bool
+	programAddress string
+	terminating    atomic.Bool
 }
 
+// accept serves each connection of a caller until the listener fails.
 func (r *relay) accept(l net.Listener) {
 	for {
 		caller, err := l.Accept()
@@ -99,35 +101,35 @@
 	}
 }
 
-// serve passes on what a caller and the program send until both have ended.
+// serve copies between a caller and the program until both have closed their side.
 func (r *relay) serve(caller net.Conn) {
 	defer caller.Close()
-	controller, err := net.Dial("tcp", r.inner)
+	controller, err := net.Dial("tcp", r.programAddress)
 	if err != nil {
 		return
 	}
 	defer controller.Close()
-	var both sync.WaitGroup
-	both.Go(func() {
-		_, _ = io.Copy(controller, caller) // its end is passed on
+	var directions sync.WaitGroup
+	directions.Go(func() {
+		_, _ = io.Copy(controller, caller) // CloseWrite below passes the end on
 		_ = controller.(*net.TCPConn).CloseWrite()
 	})
-	both.Go(func() {
-		r.twist(caller, bufio.NewReader(controller))
+	directions.Go(func() {
+		r.forward(caller, bufio.NewReader(controller))
 		_ = caller.(*net.TCPConn).CloseWrite()
 	})
-	both.Wait()
+	directions.Wait()
 }
 
-// twist passes on the program's messages with the fault.
-func (r *relay) twist(caller net.Conn, controller *bufio.Reader) {
+// forward passes the program's messages on to a caller and applies the fault.
+func (r *relay) forward(caller net.Conn, controller *bufio.Reader) {
 	for {
 		m, err := readMessage(controller)
 		if err != nil {
 			return
 		}
 		switch {
-		case fault == faultLosesReleases && r.ending.Load() && bytes.HasPrefix(m, []byte("BYE ")):
+		case fault == faultLosesReleases && r.terminating.Load() && bytes.HasPrefix(m, []byte("BYE ")):
 			continue
 		case fault == faultAnswersTwice && bytes.HasPrefix(m, []byte("SIP/2.0 200 ")) && bytes.Contains(m, []byte(" INVITE\r\n")):
 			m = append(m, m...)
@@ -138,7 +140,7 @@
 	}
 }
 
-// readMessage reads one SIP message with its body.
+// readMessage reads one SIP message with its body, whose length may be maxMessage at most.
 func readMessage(r *bufio.Reader) ([]byte, error) {
 	var m []byte
 	length := 0
@@ -149,8 +151,8 @@
 		}
 		m = append(m, line...)
 		if value, ok := strings.CutPrefix(line, "Content-Length: "); ok {
-			if length, err = strconv.Atoi(strings.TrimSpace(value)); err != nil || length < 0 || length > mostMessage {
-				return nil, fmt.Errorf("length %q", value)
+			if length, err = strconv.Atoi(strings.TrimSpace(value)); err != nil || length < 0 || length > maxMessage {
+				return nil, fmt.Errorf("invalid Content-Length %q", value)
 			}
 		}
 		if line == "\r\n" {
@@ -162,8 +164,8 @@
 	return append(m, body...), err
 }
 
-// relayDiscovery writes a configuration in which discovery is a relay that ignores drains, where that is the fault, and
-// returns its path.
+// relayDiscovery returns the path of the configuration to use. For faultIgnoresDrains it writes a copy in which
+// discovery is a relay that ignores drains.
 func relayDiscovery(path string) (string, error) {
 	if fault != faultIgnoresDrains {
 		return path, nil
@@ -189,26 +191,26 @@
 	return path + ".faulty", os.WriteFile(path+".faulty", text, 0o600)
 }
 
-// answerOnce asks discovery once and gives that answer to each question, under the question's number.
+// answerOnce sends the first query on to discovery and gives its answer to every query, under the query's own id.
 func answerOnce(socket net.PacketConn, service string) {
-	question, answer := make([]byte, mostMessage), []byte(nil)
+	question, answer := make([]byte, maxMessage), []byte(nil)
 	for {
 		n, from, err := socket.ReadFrom(question)
 		if err != nil {
 			return
 		}
 		if answer == nil {
-			answer = ask(service, question[:n])
+			answer = query(service, question[:n])
 		}
 		if len(answer) > 2 && n > 2 {
 			copy(answer, question[:2])
-			_, _ = socket.WriteTo(answer, from) // lost like any answer
+			_, _ = socket.WriteTo(answer, from) // may be lost like any datagram
 		}
 	}
 }
 
-// ask returns discovery's answer to a question, or nil.
-func ask(service string, question []byte) []byte {
+// query sends a query to discovery and returns the answer, or nil on an error.
+func query(service string, question []byte) []byte {
 	conn, err := net.Dial("udp", service)
 	if err != nil {
 		return nil
@@ -217,7 +219,7 @@
 	if _, err := conn.Write(question); err != nil {
 		return nil
 	}
-	answer := make([]byte, mostMessage)
+	answer := make([]byte, maxMessage)
 	n, err := conn.Read(answer)
 	if err != nil {
 		return nil
--- a/internal/faulttrial/incident_test.go
+++ b/internal/faulttrial/incident_test.go
@@ -17,21 +17,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// program is the border controller, built once for all tests, unless FAULTTRIAL_PROGRAM names one.
+// program is the path of the border controller. It is built once for all tests, unless FAULTTRIAL_PROGRAM names one.
 var program string
 
-// parallel is how many trials are played side by side: they mostly wait.
-const parallel = 12
+// parallelTrials is the number of concurrent trials. It may exceed the number of processors: trials mostly wait.
+const parallelTrials = 12
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	if err := flag.Set("test.parallel", strconv.Itoa(max(parallel, runtime.GOMAXPROCS(0)))); err != nil {
+	if err := flag.Set("test.parallel", strconv.Itoa(max(parallelTrials, runtime.GOMAXPROCS(0)))); err != nil {
 		panic(err)
 	}
-	os.Exit(withProgram(m))
+	os.Exit(buildAndRun(m))
 }
 
-func withProgram(m *testing.M) int {
+// buildAndRun builds the program unless one is given, runs the tests and returns the exit code.
+func buildAndRun(m *testing.M) int {
 	if program = os.Getenv("FAULTTRIAL_PROGRAM"); program != "" {
 		return m.Run()
 	}
@@ -49,7 +50,8 @@
 	return m.Run()
 }
 
-// newTestLab returns a lab of one controller and two cores, on which calls stand for a minute.
+// newTestLab returns a lab of one controller and two cores, on which calls stand for a minute. change, if not nil,
+// adapts its configuration. If the test fails, the controller's log is printed.
 func newTestLab(t *testing.T, change func(*LabConfig)) *Lab {
 	t.Helper()
 	c := LabConfig{Program: program, Dir: t.TempDir(), Seed: 1, Controllers: 1, Cores: 2, Circuits: 100,
@@ -72,15 +74,15 @@
 	return l
 }
 
-// standOn has calls stand on both cores.
-func standOn(t *testing.T, l *Lab, calls int) {
+// establishCalls sends a burst of set-ups and waits until this number of calls stands at the cores.
+func establishCalls(t *testing.T, l *Lab, calls int) {
 	t.Helper()
 	l.Callers(0).Burst(calls)
 	require.Eventually(t, func() bool { return l.Standing() >= calls }, 5*time.Second, 10*time.Millisecond)
 }
 
-// requireKept checks that no rule is broken, and that something was judged.
-func requireKept(t *testing.T, l *Lab) Verdict {
+// requireNoFindings ends the record and checks that no rule is broken and that at least one call stood.
+func requireNoFindings(t *testing.T, l *Lab) Verdict {
 	t.Helper()
 	l.Record.Add(Event{Kind: TrialEnd})
 	verdict := Check(l.Record.Events(), CheckConfig{Settings: l.Settings})
@@ -91,31 +93,31 @@
 	return verdict
 }
 
-// TestVanishedCore is incident 601762: a core vanishes with calls standing on it while discovery is down, and their
-// callers have to be told within 8 s of their end, by a controller that is busy as by one in which nothing else
-// happens, and also where another core takes the address.
+// TestVanishedCore guards against incident 601762: a core vanishes with calls standing on it while discovery is down,
+// and their callers are not released within 8 s of the calls' end. It covers a busy and an idle controller, and a core
+// whose address another one takes.
 func TestVanishedCore(t *testing.T) {
 	t.Parallel()
-	for name, play := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		circuits int
 		load     bool
 	}{
 		"busy":                {circuits: 100, load: true},
-		"busy, circuits full": {circuits: 6, load: true}, // nothing is sent to the core: there is no room
+		"busy, circuits full": {circuits: 6, load: true}, // no circuit is free, so nothing is sent to the core
 		"quiet":               {circuits: 100},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l := newTestLab(t, func(c *LabConfig) { c.Circuits = play.circuits })
+			l := newTestLab(t, func(c *LabConfig) { c.Circuits = testCase.circuits })
 			require.NoError(t, l.Discovery.SetMode(Silent, 0))
-			standOn(t, l, min(12, play.circuits))
-			if play.load {
+			establishCalls(t, l, min(12, testCase.circuits))
+			if testCase.load {
 				go l.Callers(0).Run()
 			}
 			time.Sleep(4 * time.Second)
 			l.Core(1).Vanish()
 			time.Sleep(9 * time.Second)
-			requireKept(t, l)
+			requireNoFindings(t, l)
 		})
 	}
 	for _, after := range []time.Duration{300 * time.Millisecond, 2 * time.Second, 5 * time.Second} {
@@ -123,22 +125,22 @@
 			t.Parallel()
 			l := newTestLab(t, nil)
 			require.NoError(t, l.Discovery.SetMode(Silent, 0))
-			standOn(t, l, 12)
+			establishCalls(t, l, 12)
 			time.Sleep(3 * time.Second)
 			l.Core(1).Vanish()
 			time.Sleep(after)
 			require.NoError(t, l.Replace(1, false))
 			time.Sleep(9*time.Second - after)
-			requireKept(t, l)
+			requireNoFindings(t, l)
 		})
 	}
 }
 
-// TestCoreBackInTime: calls go on standing on a core that hangs or is cut off and comes back within the limits, and on
-// one that closes, resets or forgets its connections.
+// TestCoreBackInTime checks that calls stay on a core that hangs or is cut off from the network and recovers within the
+// limits, and on one that closes, resets or forgets its connections.
 func TestCoreBackInTime(t *testing.T) {
 	t.Parallel()
-	for name, play := range map[string]func(*Lab){
+	for name, fault := range map[string]func(*Lab){
 		"cut off": func(l *Lab) {
 			l.Core(1).CutOff()
 			time.Sleep(5500 * time.Millisecond)
@@ -158,22 +160,22 @@
 				t.Parallel()
 				l := newTestLab(t, nil)
 				require.NoError(t, l.Discovery.SetMode(Silent, 0))
-				standOn(t, l, 12)
+				establishCalls(t, l, 12)
 				if busy {
 					go l.Callers(0).Run()
 				}
 				time.Sleep(3 * time.Second)
-				play(l)
+				fault(l)
 				time.Sleep(9 * time.Second)
-				verdict := requireKept(t, l)
+				verdict := requireNoFindings(t, l)
 				require.Zero(t, verdict.Cut)
 			})
 		}
 	}
 }
 
-// TestSlowDiscovery: answers that come late count, and a service that answers one query after another is not kept
-// crowded: nothing new goes to a core that drains.
+// TestSlowDiscovery checks that set-ups to a draining core stop while discovery is slow, loses answers or handles one
+// query at a time: the controller has to use late answers and must not keep a serial service overloaded with queries.
 func TestSlowDiscovery(t *testing.T) {
 	t.Parallel()
 	for _, mode := range []struct {
@@ -189,40 +191,40 @@
 			core := l.Core(1)
 			l.Discovery.Set(Member{ID: core.ID, Number: 1, State: Draining, Addresses: core.Addresses()})
 			time.Sleep(9 * time.Second)
-			requireKept(t, l)
-			var told, after int
+			requireNoFindings(t, l)
+			var answersSent, setupsAfter int
 			for _, e := range l.Record.Events() {
 				switch {
 				case e.Kind == DiscoverySent && e.Serial == 2:
-					told++
-				case e.Kind == CoreSetup && e.Core == core.ID && told > 1:
-					after++
+					answersSent++
+				case e.Kind == CoreSetup && e.Core == core.ID && answersSent > 1:
+					setupsAfter++
 				}
 			}
-			require.NotZero(t, told)
-			require.LessOrEqual(t, after, 25, "the drain is known")
+			require.NotZero(t, answersSent)
+			require.LessOrEqual(t, setupsAfter, 25, "set-ups to the draining core go on")
 		})
 	}
 }
 
-// untold lists the calls that stood and whose callers were not told of the end.
-func untold(l *Lab) []string {
-	stands := map[string]bool{}
+// unreleasedCalls returns the ids of the answered calls that neither the controller nor the caller released.
+func unreleasedCalls(l *Lab) []string {
+	standing := map[string]bool{}
 	for _, e := range l.Record.Events() {
 		switch e.Kind {
 		case CallerAnswer:
 			if e.Status < 300 {
-				stands[e.Call] = true
+				standing[e.Call] = true
 			}
 		case CallerRelease, CallerHangup:
-			delete(stands, e.Call)
+			delete(standing, e.Call)
 		}
 	}
-	return slices.Sorted(maps.Keys(stands))
+	return slices.Sorted(maps.Keys(standing))
 }
 
-// TestDrain: after SIGTERM, the ends of the calls that stand are told, what still comes on open connections is
-// answered, and the program ends by itself. More signals change nothing.
+// TestDrain checks that after SIGTERM the callers of standing calls are released when the calls end, set-ups on open
+// connections are answered, and the program exits on its own. Further signals change nothing.
 func TestDrain(t *testing.T) {
 	t.Parallel()
 	for name, during := range map[string]func(*testing.T, *Lab){
@@ -248,19 +250,19 @@
 			time.Sleep(1500 * time.Millisecond)
 			l.Controller(0).Signal(syscall.SIGTERM)
 			time.Sleep(100 * time.Millisecond)
-			l.Callers(0).Pause(true) // no new connections; those that are open stay in use
+			l.Callers(0).Pause(true) // opens no new connections; open ones stay in use
 			during(t, l)
 			time.Sleep(2500 * time.Millisecond)
 			l.Callers(0).Stop(true)
 			select {
 			case <-l.Controller(0).Exited():
 			case <-time.After(14 * time.Second):
-				require.Fail(t, "the program does not end")
+				require.Fail(t, "the program does not exit")
 			}
 			require.Eventually(t, func() bool { return l.Standing() == 0 }, 8*time.Second, 10*time.Millisecond)
-			time.Sleep(releaseTold + 2*slack) // the last end is due by then
-			requireKept(t, l)
-			require.Empty(t, untold(l), "the ends of all calls are told")
+			time.Sleep(releaseRelayLimit + 2*tolerance) // the last release is due by then
+			requireNoFindings(t, l)
+			require.Empty(t, unreleasedCalls(l), "calls without a release at their callers")
 			exits := 0
 			for _, e := range l.Record.Events() {
 				if e.Kind == ProcessExit {
@@ -273,19 +275,20 @@
 	}
 }
 
-// TestBrokenAnswers guards against calls that are left standing at a core after their callers had a refusal: the core's
-// answers break off with a reset of their connection, and the calls stand there, unheard, until they are released.
+// TestBrokenAnswers guards against calls that are left standing at a core although their callers got a refusal. It
+// comes about when a core's connection is reset in the middle of an answer: the call stands there, and the controller
+// never received the whole answer.
 func TestBrokenAnswers(t *testing.T) {
 	t.Parallel()
-	for _, play := range []struct {
+	for _, testCase := range []struct {
 		calls int
 		rate  float64
 	}{{calls: 1}, {calls: 2}, {calls: 12}, {calls: 2, rate: 10}} {
-		t.Run(fmt.Sprintf("%d calls, %v a second", play.calls, play.rate), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d calls, %v a second", testCase.calls, testCase.rate), func(t *testing.T) {
 			t.Parallel()
-			l := newTestLab(t, func(c *LabConfig) { c.Cores, c.Core.BreakOff, c.Callers.Rate = 1, 1, play.rate })
-			l.Callers(0).Burst(play.calls)
-			if play.rate > 0 {
+			l := newTestLab(t, func(c *LabConfig) { c.Cores, c.Core.BreakOff, c.Callers.Rate = 1, 1, testCase.rate })
+			l.Callers(0).Burst(testCase.calls)
+			if testCase.rate > 0 {
 				go l.Callers(0).Run()
 			}
 			time.Sleep(3 * time.Second)
@@ -294,14 +297,15 @@
 			l.Record.Add(Event{Kind: TrialEnd})
 			verdict := Check(l.Record.Events(), CheckConfig{Settings: l.Settings})
 			require.Empty(t, verdict.Findings)
-			require.GreaterOrEqual(t, verdict.Refused+verdict.Failed, play.calls)
+			require.GreaterOrEqual(t, verdict.Refused+verdict.Failed, testCase.calls)
 			require.Zero(t, l.Standing())
 		})
 	}
 }
 
-// TestDrainTellsReleases guards against releases that are lost in the program's exit: twelve calls end at once while it
-// drains, and it ends by itself, in time, once their callers can have read of all of them.
+// TestDrainTellsReleases guards against releases that are lost when the program exits: twelve calls end at once while
+// it drains, and it must exit on its own, before it may be killed, but not before their callers can have read all
+// releases.
 func TestDrainTellsReleases(t *testing.T) {
 	t.Parallel()
 	for name, change := range map[string]func(*CallerBehaviour){
@@ -312,11 +316,11 @@
 		"never acknowledged":       func(b *CallerBehaviour) { b.Acknowledge = false },
 		"never acknowledged, kept": func(b *CallerBehaviour) { b.Acknowledge, b.KeepOpen = false, true },
 	} {
-		for play := range 2 {
-			t.Run(fmt.Sprintf("%s, play %d", name, play), func(t *testing.T) {
+		for round := range 2 {
+			t.Run(fmt.Sprintf("%s, play %d", name, round), func(t *testing.T) {
 				t.Parallel()
 				l := newTestLab(t, func(c *LabConfig) { change(&c.Callers) })
-				standOn(t, l, 12)
+				establishCalls(t, l, 12)
 				l.Controller(0).Signal(syscall.SIGTERM)
 				l.Callers(0).Pause(true)
 				time.Sleep(1500 * time.Millisecond)
@@ -325,12 +329,12 @@
 				select {
 				case <-l.Controller(0).Exited():
 				case <-time.After(l.Settings.KillAfter() - 1500*time.Millisecond):
-					require.Fail(t, "the program has not ended when it may be killed")
+					require.Fail(t, "the program has not exited by the time it may be killed")
 				}
-				time.Sleep(releaseTold)
-				verdict := requireKept(t, l)
-				require.Zero(t, verdict.Excused[excuseRestarted])
-				require.Empty(t, untold(l), "the ends of all calls are told")
+				time.Sleep(releaseRelayLimit)
+				verdict := requireNoFindings(t, l)
+				require.Zero(t, verdict.Excused[excuseEndedAfterExit])
+				require.Empty(t, unreleasedCalls(l), "calls without a release at their callers")
 			})
 		}
 	}
--- a/internal/faulttrial/lab.go
+++ b/internal/faulttrial/lab.go
@@ -9,48 +9,49 @@
 	"brookmux/internal/testhost"
 )
 
-const readyWithin = 10 * time.Second // of a controller that was started
+const readyWithin = 10 * time.Second // a controller that was started must be ready by then
 
-// Lab holds the running parts of one trial: cores, discovery, controllers and callers. Use NewLab, and Close in any
-// case.
+// Lab holds the running parts of one trial: cores, discovery, controllers and callers. Create it with NewLab, which
+// starts them, and end it with Close.
 type Lab struct {
 	Record    *Recorder
 	Discovery *Discovery
 	Settings  Settings
 
-	host        string   // where cores and controllers listen
-	names       []string // of the controllers
-	controllers []*Controller
-	callers     []*Callers
-	behaviour   Behaviour
-	circuits    int
-	seed        uint64
-
-	mu     sync.Mutex
-	cores  map[int]*CoreProcess // the present one of each exchange
-	former []*CoreProcess
-	serial int // of core ids
-	closed bool
+	host            string   // where cores and controllers listen
+	controllerNames []string // by index
+	controllers     []*Controller
+	callers         []*Callers
+	behaviour       Behaviour
+	circuits        int
+	seed            uint64
+
+	mu         sync.Mutex
+	cores      map[int]*CoreProcess // the current core of each exchange, by number
+	replaced   []*CoreProcess
+	lastCoreID int // serial of the last core id
+	closed     bool
 }
 
-// LabConfig is what a Lab is made of.
+// LabConfig holds the parameters of a Lab.
 type LabConfig struct {
-	Program     string // path of the program
-	Dir         string // for files and logs
+	Program     string // path of the controller's program
+	Dir         string // for configurations and logs
 	Seed        uint64
 	Controllers int
 	Cores       int
-	Circuits    int // of each group
+	Circuits    int // of each circuit group
 	Settings    Settings
 	Core        Behaviour
 	Callers     CallerBehaviour
 }
 
-// NewLab starts all parts; callers are idle until Run or Burst.
+// NewLab starts all parts and returns once every controller is ready. Callers are idle until Run or Burst. On an error,
+// it closes what it has started.
 func NewLab(c LabConfig) (*Lab, error) {
 	l := &Lab{host: testhost.Host(), Record: NewRecorder(), Settings: c.Settings, behaviour: c.Core, circuits: c.Circuits, seed: c.Seed, cores: map[int]*CoreProcess{}}
 	for i := range c.Controllers {
-		l.names = append(l.names, fmt.Sprintf("n%d", i+1))
+		l.controllerNames = append(l.controllerNames, fmt.Sprintf("n%d", i+1))
 	}
 	var members []Member
 	var exchanges []int
@@ -64,11 +65,11 @@
 		exchanges = append(exchanges, n)
 	}
 	var err error
-	if l.Discovery, err = NewDiscovery(l.host, l.names, members, l.Record); err != nil {
+	if l.Discovery, err = NewDiscovery(l.host, l.controllerNames, members, l.Record); err != nil {
 		l.Close()
 		return nil, err
 	}
-	for i, name := range l.names {
+	for i, name := range l.controllerNames {
 		controller, err := NewController(name, l.host, c.Program, c.Dir, c.Settings, c.Seed+uint64(i), l.Discovery, l.Record)
 		if err != nil {
 			l.Close()
@@ -84,17 +85,19 @@
 	return l, nil
 }
 
-// startCore starts the next process of an exchange, at the addresses of another if there are any.
+// startCore starts a core of an exchange under a new id. It listens at the given addresses, if any.
 func (l *Lab) startCore(number int, addresses map[string]string) (*CoreProcess, error) {
 	l.mu.Lock()
-	l.serial++
-	id := fmt.Sprintf("s-%08x", l.serial)
+	l.lastCoreID++
+	id := fmt.Sprintf("s-%08x", l.lastCoreID)
 	l.mu.Unlock()
 	return l.startCoreAs(id, number, addresses)
 }
 
+// startCoreAs starts a core of an exchange under an id and makes it the exchange's current one. If the lab is closed,
+// it ends the core again.
 func (l *Lab) startCoreAs(id string, number int, addresses map[string]string) (*CoreProcess, error) {
-	core, err := StartCore(id, l.host, number, l.circuits, l.names, addresses, l.behaviour, l.seed+uint64(number)*7, l.Record)
+	core, err := StartCore(id, l.host, number, l.circuits, l.controllerNames, addresses, l.behaviour, l.seed+uint64(number)*7, l.Record)
 	if err != nil {
 		return nil, err
 	}
@@ -105,26 +108,27 @@
 		return core, nil
 	}
 	if old := l.cores[number]; old != nil {
-		l.former = append(l.former, old)
+		l.replaced = append(l.replaced, old)
 	}
 	l.cores[number] = core
 	return core, nil
 }
 
-// Core is the present core of an exchange.
+// Core returns the current core of an exchange.
 func (l *Lab) Core(number int) *CoreProcess {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.cores[number]
 }
 
-// Controller is one of the controllers, by index.
+// Controller returns a controller by its index, which starts at 0.
 func (l *Lab) Controller(i int) *Controller { return l.controllers[i] }
 
-// Callers are those of a controller, by index.
+// Callers returns the callers of a controller, by the controller's index.
 func (l *Lab) Callers(i int) *Callers { return l.callers[i] }
 
-// Replace starts another process in an exchange's place, at the same address. Unless sameID, it has a new id.
+// Replace starts another core of an exchange at the addresses of the current one, which must have crashed or vanished.
+// The new core has the same id if sameID is set, else a new one. Discovery does not list it before Announce.
 func (l *Lab) Replace(number int, sameID bool) error {
 	old := l.Core(number)
 	old.Abandon()
@@ -142,12 +146,12 @@
 	return nil
 }
 
-// Announce has discovery list the present core of an exchange and drop the former ones.
+// Announce puts the current core of an exchange into the membership list and removes the replaced ones.
 func (l *Lab) Announce(number int, started time.Time) {
 	l.mu.Lock()
 	core := l.cores[number]
 	var gone []string
-	for _, old := range l.former {
+	for _, old := range l.replaced {
 		if old.Number == number && old.ID != core.ID {
 			gone = append(gone, old.ID)
 		}
@@ -161,7 +165,7 @@
 	l.Discovery.Set(Member{ID: core.ID, Number: number, State: Ready, Addresses: core.Addresses(), Started: started})
 }
 
-// Standing is how many calls stand at all cores.
+// Standing returns the number of calls that stand at the current cores.
 func (l *Lab) Standing() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -172,7 +176,7 @@
 	return n
 }
 
-// Close ends callers, controllers, cores and discovery.
+// Close ends callers, controllers, cores and discovery, in this order. Controllers are killed.
 func (l *Lab) Close() {
 	for _, c := range l.callers {
 		c.Close()
@@ -182,7 +186,7 @@
 	}
 	l.mu.Lock()
 	l.closed = true
-	cores := append([]*CoreProcess(nil), l.former...)
+	cores := append([]*CoreProcess(nil), l.replaced...)
 	for _, c := range l.cores {
 		cores = append(cores, c)
 	}
@@ -195,7 +199,8 @@
 	}
 }
 
-// lossText tells whether a fault's text is one that ends a core's calls or keeps it silent.
-func lossText(text string) bool {
+// isOutageText reports whether the text of a core's Fault event starts an outage: the core ends its calls or becomes
+// unresponsive.
+func isOutageText(text string) bool {
 	return text == "hang" || text == "cut off" || strings.HasPrefix(text, "crashed")
 }
--- a/internal/faulttrial/plan.go
+++ b/internal/faulttrial/plan.go
@@ -7,47 +7,48 @@
 	"time"
 )
 
-// FaultKind names a fault of a Plan.
+// FaultKind is the type of a Step's fault.
 type FaultKind string
 
-// The kinds of faults.
+// The kinds of faults. For, Delay and Mode are the fields of the Step.
 const (
-	FaultHang          FaultKind = "hang"            // a core hangs for For
+	FaultHang          FaultKind = "hang"            // a core's process hangs for For
 	FaultCutOff        FaultKind = "cut-off"         // a core is off the network for For
-	FaultVanish        FaultKind = "vanish"          // a core vanishes; the list says so after For
-	FaultTakeover      FaultKind = "takeover"        // a core vanishes and another has its address after For
-	FaultCrashRestart  FaultKind = "crash-restart"   // a core crashes and starts again under its id after For
-	FaultCrashReplace  FaultKind = "crash-replace"   // a core crashes and another starts at its address after For
-	FaultDrainReplace  FaultKind = "drain-replace"   // a core drains, and another takes its place after For
-	FaultForget        FaultKind = "forget"          // a core forgets its idle connections
+	FaultVanish        FaultKind = "vanish"          // a core vanishes; the membership list drops it after For
+	FaultTakeover      FaultKind = "takeover"        // a core vanishes and another one starts at its address after For
+	FaultCrashRestart  FaultKind = "crash-restart"   // a core crashes and restarts with the same id after For
+	FaultCrashReplace  FaultKind = "crash-replace"   // a core crashes and another one starts at its address after For
+	FaultDrainReplace  FaultKind = "drain-replace"   // a core drains for For, then another one replaces it
+	FaultForget        FaultKind = "forget"          // a core silently stops serving its idle connections
 	FaultReset         FaultKind = "reset"           // a core resets its idle connections
 	FaultClose         FaultKind = "close"           // a core closes its idle connections
-	FaultLateUp        FaultKind = "late-up"         // connections to a core come up late for For
-	FaultDiscovery     FaultKind = "discovery"       // discovery is in Mode for For, at Delay an answer
-	FaultRestart       FaultKind = "restart"         // a controller gets SIGTERM, SIGKILL at the earliest, and starts again
-	FaultRestartSeries FaultKind = "restart-series"  // all controllers, one after another
-	FaultKill          FaultKind = "kill"            // a controller is killed and starts again
+	FaultLateUp        FaultKind = "late-up"         // new connections to a core are served Delay late, for For
+	FaultDiscovery     FaultKind = "discovery"       // discovery is in Mode for For, with Delay per answer
+	FaultRestart       FaultKind = "restart"         // a controller gets SIGTERM, then SIGKILL as early as permitted, and restarts
+	FaultRestartSeries FaultKind = "restart-series"  // all controllers restart, one after another
+	FaultKill          FaultKind = "kill"            // a controller gets SIGKILL and restarts
 	FaultReload        FaultKind = "reload"          // a controller gets new configurations in quick succession
-	FaultReloadBad     FaultKind = "reload-bad"      // a configuration that can't be used
-	FaultCrowd         FaultKind = "crowd"           // connections that say nothing, for For
-	FaultBurst         FaultKind = "burst"           // many set-ups at once
-	FaultBadClients    FaultKind = "bad-clients"     // clients send what can't be read
+	FaultReloadBad     FaultKind = "reload-bad"      // a controller gets an invalid configuration
+	FaultCrowd         FaultKind = "crowd"           // Count connections that send nothing, for For
+	FaultBurst         FaultKind = "burst"           // Count set-ups at once
+	FaultBadClients    FaultKind = "bad-clients"     // clients send malformed messages
 	FaultMute          FaultKind = "mute-connection" // a caller's connection is cut without a sign
-	FaultSignals       FaultKind = "signals"         // a restart, with further signals in a series while the controller drains
+	FaultSignals       FaultKind = "signals"         // a restart, with Count further signals while the controller drains
 	FaultDrainEnds     FaultKind = "drain-ends"      // a restart; all calls end at once, For after SIGTERM
 )
 
-// FaultKinds are all of them.
+// FaultKinds lists every kind. The order matters: seeds draw kinds by index, lower ones from the first
+// originalKindCount.
 var FaultKinds = []FaultKind{FaultHang, FaultCutOff, FaultVanish, FaultTakeover, FaultCrashRestart, FaultCrashReplace,
 	FaultDrainReplace, FaultForget, FaultReset, FaultClose, FaultLateUp, FaultDiscovery, FaultRestart, FaultRestartSeries, FaultKill,
 	FaultReload, FaultReloadBad, FaultCrowd, FaultBurst, FaultBadClients, FaultMute, FaultSignals, FaultDrainEnds}
 
 const (
-	firstExtendedSeed = 1000 // seeds before it replay what they drew from the former kinds
-	formerKinds       = 21   // the first so many of FaultKinds
+	firstExtendedSeed = 1000 // lower seeds use the first originalKindCount kinds, so that their plans stay the same
+	originalKindCount = 21   // the kinds at the start of FaultKinds that lower seeds draw from
 )
 
-// Step is a fault at a time of the trial.
+// Step is one fault of a Plan. Which fields apply depends on the kind.
 type Step struct {
 	At         time.Duration `json:"at"`
 	Kind       FaultKind     `json:"kind"`
@@ -57,18 +58,18 @@
 	Mode       DiscoveryMode `json:"mode,omitempty"`
 	Delay      time.Duration `json:"delay,omitempty"`
 	Count      int           `json:"count,omitempty"`
-	Quiet      bool          `json:"quiet,omitempty"` // callers send nothing once a controller's restart is under way
+	Quiet      bool          `json:"quiet,omitempty"` // callers stop sending during a controller's restart
 }
 
-// String describes the step.
+// String returns the step as one line of text.
 func (s Step) String() string {
 	return fmt.Sprintf("%.2f s %s core %d controller %d for %v mode %s delay %v count %d", s.At.Seconds(), s.Kind, s.Core, s.Controller, s.For, s.Mode, s.Delay, s.Count)
 }
 
-// Plan is a trial drawn from a seed.
+// Plan describes a trial, usually as drawn from a seed.
 type Plan struct {
 	Seed        uint64          `json:"seed"`
-	Length      time.Duration   `json:"length"` // faults and load; the trial goes on until calls are over
+	Length      time.Duration   `json:"length"` // of faults and load; the trial then continues for settleTime
 	Controllers int             `json:"controllers"`
 	Cores       int             `json:"cores"`
 	Circuits    int             `json:"circuits"`
@@ -78,64 +79,66 @@
 	Steps       []Step          `json:"steps"`
 }
 
-// drawer draws a plan's figures.
-type drawer struct{ *rand.Rand }
+// planRand draws the random values of a plan.
+type planRand struct{ *rand.Rand }
 
-func (d drawer) between(from, to time.Duration) time.Duration {
-	return from + time.Duration(d.Float64()*float64(to-from))
+func (r planRand) between(from, to time.Duration) time.Duration {
+	return from + time.Duration(r.Float64()*float64(to-from))
 }
 
-func (d drawer) chance(share float64) bool { return d.Float64() < share }
+func (r planRand) chance(share float64) bool { return r.Float64() < share }
 
-// NewPlan draws a trial from a seed. Only the kinds of faults that are named are drawn, or all if none is.
+// NewPlan draws a trial from a seed. If only is not empty, the faults are of these kinds. The same arguments always
+// give the same plan.
 func NewPlan(seed uint64, only []FaultKind) Plan {
-	d := drawer{rand.New(rand.NewPCG(seed, 0x5eed))}
-	p := Plan{Seed: seed, Length: d.between(10*time.Second, 22*time.Second), Controllers: 2 + d.IntN(3), Cores: 2 + d.IntN(5)}
-	p.Settings = drawSettings(d)
+	r := planRand{rand.New(rand.NewPCG(seed, 0x5eed))}
+	p := Plan{Seed: seed, Length: r.between(10*time.Second, 22*time.Second), Controllers: 2 + r.IntN(3), Cores: 2 + r.IntN(5)}
+	p.Settings = drawSettings(r)
 	hold := p.Settings.Classes[0].Hold
-	rate := 4 + 30*d.Float64()
-	quiet := d.chance(0.3) // hardly any traffic: nothing but the faults happens
-	if quiet {
-		rate = 0.5 + d.Float64()
+	rate := 4 + 30*r.Float64()
+	lowTraffic := r.chance(0.3) // so that little but the faults drives the controllers
+	if lowTraffic {
+		rate = 0.5 + r.Float64()
 	}
-	p.Circuits = 6 + d.IntN(60)
-	p.Core = Behaviour{Work: d.between(2*time.Millisecond, 60*time.Millisecond), Hold: hold, Refuse: 0.1 * d.Float64(), Pieces: d.chance(0.25)}
-	if d.chance(0.25) {
+	p.Circuits = 6 + r.IntN(60)
+	p.Core = Behaviour{Work: r.between(2*time.Millisecond, 60*time.Millisecond), Hold: hold, Refuse: 0.1 * r.Float64(), Pieces: r.chance(0.25)}
+	if r.chance(0.25) {
 		p.Core.Spoil = 0.02
 	}
-	p.Callers = CallerBehaviour{Rate: rate, Connections: 1 + d.IntN(6), GiveUp: 0.1 * d.Float64(), HangUp: 0.3 * d.Float64(),
-		Redial: 0.3 * d.Float64(), Pieces: d.chance(0.25), Acknowledge: d.chance(0.8), StopAt: p.Length}
+	p.Callers = CallerBehaviour{Rate: rate, Connections: 1 + r.IntN(6), GiveUp: 0.1 * r.Float64(), HangUp: 0.3 * r.Float64(),
+		Redial: 0.3 * r.Float64(), Pieces: r.chance(0.25), Acknowledge: r.chance(0.8), StopAt: p.Length}
 	if seed >= firstExtendedSeed {
-		p.extend(d)
+		p.drawExtendedBehaviour(r)
 	}
-	p.Steps = drawSteps(d, p, only, quiet)
+	p.Steps = drawSteps(r, p, only, lowTraffic)
 	return p
 }
 
-// extend draws the behaviour that former seeds do not have.
-func (p *Plan) extend(d drawer) {
-	if d.chance(0.3) {
+// drawExtendedBehaviour draws the behaviour that seeds below firstExtendedSeed do not have.
+func (p *Plan) drawExtendedBehaviour(r planRand) {
+	if r.chance(0.3) {
 		p.Core.BreakOff = 0.05
 	}
-	p.Callers.DialOnEnd, p.Callers.KeepOpen = d.chance(0.25), d.chance(0.25)
-	if d.chance(0.25) {
-		p.Callers.ReadPause = d.between(time.Millisecond, 8*time.Millisecond)
+	p.Callers.DialOnEnd, p.Callers.KeepOpen = r.chance(0.25), r.chance(0.25)
+	if r.chance(0.25) {
+		p.Callers.ReadPause = r.between(time.Millisecond, 8*time.Millisecond)
 	}
 }
 
-func drawSettings(d drawer) Settings {
-	s := Settings{ConnectTimeout: d.between(200*time.Millisecond, time.Second), MaxAttempts: 2 + d.IntN(5), Memory: 96 + 32*d.IntN(4),
-		Descriptors: 256 + 128*d.IntN(7)}
-	for i := range 1 + d.IntN(3) {
-		deadline := d.between(300*time.Millisecond, 4*time.Second)
+func drawSettings(r planRand) Settings {
+	s := Settings{ConnectTimeout: r.between(200*time.Millisecond, time.Second), MaxAttempts: 2 + r.IntN(5), Memory: 96 + 32*r.IntN(4),
+		Descriptors: 256 + 128*r.IntN(7)}
+	for i := range 1 + r.IntN(3) {
+		deadline := r.between(300*time.Millisecond, 4*time.Second)
 		s.Classes = append(s.Classes, Class{Name: fmt.Sprintf("class-%d", i+1), Aim: deadline / 2, Deadline: deadline,
-			Hold: d.between(500*time.Millisecond, 9*time.Second)})
+			Hold: r.between(500*time.Millisecond, 9*time.Second)})
 	}
 	return s
 }
 
-// drawSteps draws the faults: at least two kinds, some after a long quiet time, some on top of each other.
-func drawSteps(d drawer, p Plan, only []FaultKind, quiet bool) []Step {
+// drawSteps draws the faults in order of time. Some plans start them after a long time without faults, and faults may
+// overlap.
+func drawSteps(r planRand, p Plan, only []FaultKind, lowTraffic bool) []Step {
 	kinds := only
 	extended := p.Seed >= firstExtendedSeed
 	switch {
@@ -143,77 +146,77 @@
 	case extended:
 		kinds = FaultKinds
 	default:
-		kinds = FaultKinds[:formerKinds]
+		kinds = FaultKinds[:originalKindCount]
 	}
-	first := d.between(time.Second, 3*time.Second)
-	if d.chance(0.25) {
+	first := r.between(time.Second, 3*time.Second)
+	if r.chance(0.25) {
 		first = p.Length / 2
 	}
 	var steps []Step
-	silenced := d.chance(0.5) // discovery is faulty while something else happens
-	if silenced && (len(only) == 0 || slices.Contains(only, FaultDiscovery)) {
-		step := drawStep(d, p, FaultDiscovery, first)
-		step.At = max(0, first-d.between(0, time.Second))
-		step.For = d.between(3*time.Second, 12*time.Second)
+	discoveryFaulty := r.chance(0.5) // discovery is faulty while other faults happen
+	if discoveryFaulty && (len(only) == 0 || slices.Contains(only, FaultDiscovery)) {
+		step := drawStep(r, p, FaultDiscovery, first)
+		step.At = max(0, first-r.between(0, time.Second))
+		step.For = r.between(3*time.Second, 12*time.Second)
 		steps = append(steps, step)
 	}
-	for range 3 + d.IntN(5) {
-		kind := kinds[d.IntN(len(kinds))]
+	for range 3 + r.IntN(5) {
+		kind := kinds[r.IntN(len(kinds))]
 		if kind == FaultMute && !p.Callers.Acknowledge {
-			continue // nothing tells a controller of such a cut where releases are not acknowledged
+			continue // a controller can't detect such a cut if releases are not acknowledged
 		}
-		steps = append(steps, drawStep(d, p, kind, d.between(first, max(first, p.Length-2*time.Second))))
+		steps = append(steps, drawStep(r, p, kind, r.between(first, max(first, p.Length-2*time.Second))))
 	}
-	if quiet && len(only) == 0 {
-		steps = append(steps, drawStep(d, p, FaultBurst, first/2)) // calls that stand in a process that is quiet
+	if lowTraffic && len(only) == 0 {
+		steps = append(steps, drawStep(r, p, FaultBurst, first/2)) // so that calls stand in a controller with little traffic
 	}
 	if extended && len(only) == 0 {
-		ends := []FaultKind{FaultRestart, FaultRestartSeries, FaultSignals, FaultDrainEnds}
-		steps = append(steps, drawStep(d, p, ends[d.IntN(len(ends))], d.between(first, max(first, p.Length-2*time.Second))))
-		if d.chance(0.3) {
-			steps = append(steps, drawStep(d, p, FaultCrowd, first))
+		restarts := []FaultKind{FaultRestart, FaultRestartSeries, FaultSignals, FaultDrainEnds}
+		steps = append(steps, drawStep(r, p, restarts[r.IntN(len(restarts))], r.between(first, max(first, p.Length-2*time.Second))))
+		if r.chance(0.3) {
+			steps = append(steps, drawStep(r, p, FaultCrowd, first))
 		}
 	}
 	slices.SortFunc(steps, func(a, b Step) int { return int(a.At - b.At) })
 	return steps
 }
 
-func drawStep(d drawer, p Plan, kind FaultKind, at time.Duration) Step {
-	s := Step{At: at, Kind: kind, Core: 1 + d.IntN(p.Cores), Controller: d.IntN(p.Controllers)}
+func drawStep(r planRand, p Plan, kind FaultKind, at time.Duration) Step {
+	s := Step{At: at, Kind: kind, Core: 1 + r.IntN(p.Cores), Controller: r.IntN(p.Controllers)}
 	switch kind {
 	case FaultHang, FaultCutOff:
-		s.For = d.between(300*time.Millisecond, 12*time.Second)
+		s.For = r.between(300*time.Millisecond, 12*time.Second)
 	case FaultVanish:
-		s.For = d.between(time.Second, 14*time.Second)
+		s.For = r.between(time.Second, 14*time.Second)
 	case FaultTakeover, FaultCrashRestart, FaultCrashReplace:
-		s.For = d.between(50*time.Millisecond, 6*time.Second)
-		s.Delay = d.between(300*time.Millisecond, 10*time.Second) // until the list says so
+		s.For = r.between(50*time.Millisecond, 6*time.Second)
+		s.Delay = r.between(300*time.Millisecond, 10*time.Second) // until the membership list has the new core
 	case FaultDrainReplace:
-		s.For = d.between(time.Second, 5*time.Second)
+		s.For = r.between(time.Second, 5*time.Second)
 	case FaultLateUp:
-		s.For, s.Delay = d.between(time.Second, 6*time.Second), d.between(200*time.Millisecond, time.Second)
+		s.For, s.Delay = r.between(time.Second, 6*time.Second), r.between(200*time.Millisecond, time.Second)
 	case FaultDiscovery:
 		modes := []DiscoveryMode{Silent, Refused, Slow, Crowded, Failing, Short, WrongID, Older, Lossy}
-		s.Mode, s.For = modes[d.IntN(len(modes))], d.between(500*time.Millisecond, 15*time.Second)
+		s.Mode, s.For = modes[r.IntN(len(modes))], r.between(500*time.Millisecond, 15*time.Second)
 		switch s.Mode {
 		case Slow:
-			s.Delay = d.between(200*time.Millisecond, 6*time.Second)
+			s.Delay = r.between(200*time.Millisecond, 6*time.Second)
 		case Crowded:
-			s.Delay = d.between(100*time.Millisecond, 700*time.Millisecond)
+			s.Delay = r.between(100*time.Millisecond, 700*time.Millisecond)
 		}
 	case FaultDrainEnds:
-		s.For, s.Quiet = d.between(shutdownMargin, p.Settings.KillAfter()), d.chance(0.7)
-		s.Delay = d.between(0, 3*time.Second) // until the next start
+		s.For, s.Quiet = r.between(shutdownMargin, p.Settings.KillAfter()), r.chance(0.7)
+		s.Delay = r.between(0, 3*time.Second) // until the next start
 	case FaultSignals:
-		s.Count = 1 + d.IntN(4)
+		s.Count = 1 + r.IntN(4)
 	case FaultReload:
-		s.Count = 1 + d.IntN(5)
+		s.Count = 1 + r.IntN(5)
 	case FaultCrowd:
-		s.For, s.Count = d.between(time.Second, 4*time.Second), 50+d.IntN(200)
+		s.For, s.Count = r.between(time.Second, 4*time.Second), 50+r.IntN(200)
 	case FaultBurst:
-		s.Count = 5 + d.IntN(60)
+		s.Count = 5 + r.IntN(60)
 	case FaultBadClients:
-		s.Count = 6 + d.IntN(20)
+		s.Count = 6 + r.IntN(20)
 	}
 	return s
 }
--- a/internal/faulttrial/record.go
+++ b/internal/faulttrial/record.go
@@ -1,9 +1,9 @@
-// Package faulttrial runs short, dense fault-injection trials against the border controller as it is deployed: real
-// processes on loopback, stand-in cores, discovery and callers, faults drawn from a seed, and a checker that judges
-// from the records of the stand-ins alone.
+// Package faulttrial runs short, dense fault-injection trials against the border controller as it is deployed. The
+// controllers are real processes on loopback; cores, discovery and callers are simulated, and the faults are drawn from
+// a seed.
 //
-// A trial is described by a Plan, played by Run, and judged by Check. Nothing in this package reads the
-// controller's own state or log to reach a verdict.
+// A Plan describes a trial, Run executes it, and Check evaluates it from the records of the simulated parts alone.
+// Nothing in this package reads the controller's own state or log to reach a verdict.
 package faulttrial
 
 import (
@@ -14,37 +14,37 @@
 	"time"
 )
 
-// Kind names what happened in an Event.
+// Kind is the type of an Event.
 type Kind string
 
-// The kinds of events. The comment names the fields that are set beside At.
+// The kinds of events. Each comment lists the fields that are set beside At.
 const (
-	CallerSent     Kind = "caller_sent"     // Call, Controller, Connection: a set-up was written whole
+	CallerSent     Kind = "caller_sent"     // Call, Controller, Connection: a set-up was written completely
 	CallerAnswer   Kind = "caller_answer"   // Call, Controller, Status, Text: a final answer was read
-	CallerCancel   Kind = "caller_cancel"   // Call: the caller gave the set-up up
-	CallerRelease  Kind = "caller_release"  // Call: the caller was told that the call is over
+	CallerCancel   Kind = "caller_cancel"   // Call: the caller cancelled the set-up
+	CallerRelease  Kind = "caller_release"  // Call: the controller released the call at its caller
 	CallerHangup   Kind = "caller_hangup"   // Call: the caller released the call
 	CallerLost     Kind = "caller_lost"     // Call, Text: the connection of an unanswered set-up ended
 	CoreSetup      Kind = "core_setup"      // Call, Core, Controller: a set-up was read
 	CoreAnswer     Kind = "core_answer"     // Call, Core, Text: an answer was written
 	CoreRefuse     Kind = "core_refuse"     // Call, Core, Cause: an attempt ended without an answer
-	CoreGivenUp    Kind = "core_given_up"   // Call, Core: a set-up was given up by the controller
-	CoreEnd        Kind = "core_end"        // Call, Core, Text: a call that stood is over
-	CoreRelease    Kind = "core_release"    // Call, Core: the release of a call that stood was written
-	CoreReleased   Kind = "core_released"   // Call, Core: the controller released a call that stood
+	CoreGivenUp    Kind = "core_given_up"   // Call, Core: the controller abandoned a set-up, or it was lost with its connection or its core
+	CoreEnd        Kind = "core_end"        // Call, Core, Text: a standing call ended, and how
+	CoreRelease    Kind = "core_release"    // Call, Core: the core wrote the release of a standing call
+	CoreReleased   Kind = "core_released"   // Call, Core: the controller released a standing call
 	ProcessStart   Kind = "process_start"   // Controller
 	ProcessReady   Kind = "process_ready"   // Controller
 	ProcessSignal  Kind = "process_signal"  // Controller, Text
-	ProcessExit    Kind = "process_exit"    // Controller, Text: how it ended
-	DiscoverySet   Kind = "discovery_set"   // Core, Text: the list has a change
-	DiscoverySent  Kind = "discovery_sent"  // Controller, Serial: an answer was sent
+	ProcessExit    Kind = "process_exit"    // Controller, Text: exit status, or what ended the process
+	DiscoverySet   Kind = "discovery_set"   // Core, Serial, Text: the membership list changed, Text is the new state
+	DiscoverySent  Kind = "discovery_sent"  // Controller, Serial: an answer with the list at this serial was sent
 	DiscoveryFault Kind = "discovery_fault" // Text: a fault of discovery begins or ends
 	Fault          Kind = "fault"           // Core or Controller, Text: a fault begins or ends
 	Usage          Kind = "usage"           // Controller, Memory, Descriptors
-	TrialEnd       Kind = "trial_end"       // nothing is judged past this
+	TrialEnd       Kind = "trial_end"       // limits that end later are not checked
 )
 
-// Event is one line of a trial's record.
+// Event is one entry of a trial's record. Fields that do not apply to its kind are zero.
 type Event struct {
 	At          time.Duration `json:"at"` // since the trial's start
 	Kind        Kind          `json:"kind"`
@@ -56,7 +56,7 @@
 	Cause       int           `json:"cause,omitempty"`
 	Serial      uint32        `json:"serial,omitempty"`
 	Deadline    time.Duration `json:"deadline,omitempty"`
-	Memory      int64         `json:"memory,omitempty"` // bytes resident
+	Memory      int64         `json:"memory,omitempty"` // resident set size in bytes
 	Descriptors int           `json:"descriptors,omitempty"`
 	Text        string        `json:"text,omitempty"`
 }
@@ -75,7 +75,7 @@
 // Now returns the time since the trial's start.
 func (r *Recorder) Now() time.Duration { return time.Since(r.start) }
 
-// Add records an event at the present time.
+// Add appends an event and sets its At to the current time.
 func (r *Recorder) Add(e Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,14 +83,14 @@
 	r.events = append(r.events, e)
 }
 
-// Events returns all events so far, in order.
+// Events returns a copy of all events so far, in order.
 func (r *Recorder) Events() []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Event(nil), r.events...)
 }
 
-// WriteTo writes the events as JSON lines.
+// WriteTo writes the events as JSON lines. The returned count is always 0.
 func (r *Recorder) WriteTo(w io.Writer) (int64, error) {
 	encoder := json.NewEncoder(w)
 	for _, e := range r.Events() {
--- a/internal/faulttrial/run.go
+++ b/internal/faulttrial/run.go
@@ -10,94 +10,97 @@
 )
 
 const (
-	newConnectionsFor = 300 * time.Millisecond // after SIGTERM, callers open new connections for so long
-	requestsFor       = 500 * time.Millisecond // and where they fall quiet, they send on open ones for so long
-	reloadGap         = 300 * time.Millisecond // between configurations in quick succession
-	signalGap         = 150 * time.Millisecond // between signals in a series
-	measureInterval   = 500 * time.Millisecond
-	settleAfter       = 11 * time.Second // after the last fault: a call's end is due within 8 s, and discovery is heard
-	lagInterval       = 5 * time.Millisecond
-	coreCapacity      = 60 // set-ups a second that a warm core bears, for the rule on cold cores
+	newConnectionPeriod = 300 * time.Millisecond // after SIGTERM, callers open new connections for this long
+	requestPeriod       = 500 * time.Millisecond // and, if they stop, send on open ones for this long
+	reloadInterval      = 300 * time.Millisecond // between configurations in quick succession
+	signalInterval      = 150 * time.Millisecond // between the signals of a series
+	measureInterval     = 500 * time.Millisecond
+	settleTime          = 11 * time.Second // after the last fault: a release is due within 8 s, discovery has answered
+	lagInterval         = 5 * time.Millisecond
+	coreCapacity        = 60 // set-ups per second that a warm core can serve, for the rule on cold cores
 )
 
-// Trial is a plan that was played, with what its records show.
+// Trial is a plan that was run, with its events and verdict.
 type Trial struct {
 	Plan    Plan
 	Verdict Verdict
 	Events  []Event
-	Lag     time.Duration // how late the trial's own timers were at most
-	Dir     string        // holds logs and records
+	Lag     time.Duration // largest delay of the trial's own timers
+	Dir     string        // of logs and records
 }
 
-// player plays a plan.
-type player struct {
+// runner runs a plan in a lab.
+type runner struct {
 	Plan
 	lab  *Lab
 	wait sync.WaitGroup
 	stop chan struct{}
 
-	mu       sync.Mutex
-	faulty   map[int]bool // exchanges with a fault under way: another has to wait for its end
-	starting map[int]bool // controllers that are being restarted
-	modes    int          // faults of discovery under way
-	lag      time.Duration
-	failure  error
+	mu              sync.Mutex
+	faultyExchanges map[int]bool // exchanges with an active core fault; a further one is skipped
+	restarting      map[int]bool // controllers that are being restarted or reloaded
+	discoveryFaults int          // active faults of discovery, 0 or 1
+	lag             time.Duration
+	firstError      error
 }
 
-// Run plays a plan against a program, with its files under a folder.
+// Run runs a plan against a program and checks the result. It writes its files below dir. Closing stop ends the
+// trial early. The error is the first that kept the trial or one of its faults from running; findings are not errors.
 func Run(p Plan, program, dir string, stop <-chan struct{}) (Trial, error) {
 	t := Trial{Plan: p, Dir: dir}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return t, fmt.Errorf("faulttrial: %w", err)
 	}
 	lab, err := NewLab(LabConfig{Program: program, Dir: dir, Seed: p.Seed, Controllers: p.Controllers, Cores: p.Cores,
-		Circuits: p.Circuits, Settings: p.Settings, Core: p.Core, Callers: p.shifted()})
+		Circuits: p.Circuits, Settings: p.Settings, Core: p.Core, Callers: p.callerBehaviour()})
 	if err != nil {
 		return t, err
 	}
 	defer lab.Close()
-	x := &player{Plan: p, lab: lab, stop: make(chan struct{}), faulty: map[int]bool{}, starting: map[int]bool{}}
-	x.play(stop)
-	t.Events, t.Lag = lab.Record.Events(), x.worstLag()
+	r := &runner{Plan: p, lab: lab, stop: make(chan struct{}), faultyExchanges: map[int]bool{}, restarting: map[int]bool{}}
+	r.run(stop)
+	t.Events, t.Lag = lab.Record.Events(), r.maxLag()
 	t.Verdict = Check(t.Events, CheckConfig{Settings: p.Settings, Capacity: coreCapacity, Lag: t.Lag})
-	return t, x.failure
+	return t, r.firstError
 }
 
-// shifted are the callers' figures with times from the trial's own start, which the start of processes delays.
-func (p Plan) shifted() CallerBehaviour {
+// callerBehaviour returns the behaviour of the callers without their own end of load: the runner ends the load, as the
+// plan's length counts from the end of all start-ups.
+func (p Plan) callerBehaviour() CallerBehaviour {
 	c := p.Callers
-	c.StopAt = time.Hour // the player ends them
+	c.StopAt = time.Hour // the runner ends the load
 	return c
 }
 
-// play carries the steps out, and returns once all calls had time to end.
-func (x *player) play(stop <-chan struct{}) {
-	began := time.Now()
-	go x.watchLag()
-	go x.measure()
-	for i := range x.Controllers {
-		x.wait.Go(x.lab.Callers(i).Run)
+// run executes the steps and returns once all calls have had time to end.
+func (r *runner) run(stop <-chan struct{}) {
+	startTime := time.Now()
+	go r.watchTimers()
+	go r.measureUsage()
+	for i := range r.Controllers {
+		r.wait.Go(r.lab.Callers(i).Run)
 	}
 	var steps sync.WaitGroup
-	for _, s := range x.Steps {
+	for _, s := range r.Steps {
 		steps.Go(func() {
 			select {
-			case <-time.After(time.Until(began.Add(s.At))):
-				x.carryOut(s)
+			case <-time.After(time.Until(startTime.Add(s.At))):
+				r.runStep(s)
 			case <-stop:
 			}
 		})
 	}
-	sleep(time.Until(began.Add(x.Length)), stop)
-	for i := range x.Controllers {
-		x.lab.Callers(i).Finish()
+	sleep(time.Until(startTime.Add(r.Length)), stop)
+	for i := range r.Controllers {
+		r.lab.Callers(i).Finish()
 	}
 	steps.Wait()
-	sleep(settleAfter, stop)
-	x.lab.Record.Add(Event{Kind: TrialEnd})
-	close(x.stop)
+	sleep(settleTime, stop)
+	r.lab.Record.Add(Event{Kind: TrialEnd})
+	close(r.stop)
 }
 
+// sleep waits for a duration or until stop.
 func sleep(d time.Duration, stop <-chan struct{}) {
 	select {
 	case <-time.After(d):
@@ -105,54 +108,56 @@
 	}
 }
 
-// watchLag measures how late timers are on this machine.
-func (x *player) watchLag() {
+// watchTimers measures how late timers fire on this machine, until the trial ends.
+func (r *runner) watchTimers() {
 	for {
 		before := time.Now()
 		select {
-		case <-x.stop:
+		case <-r.stop:
 			return
 		case <-time.After(lagInterval):
 		}
 		late := time.Since(before) - lagInterval
-		x.mu.Lock()
-		x.lag = max(x.lag, late)
-		x.mu.Unlock()
+		r.mu.Lock()
+		r.lag = max(r.lag, late)
+		r.mu.Unlock()
 	}
 }
 
-func (x *player) worstLag() time.Duration {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.lag
+func (r *runner) maxLag() time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.lag
 }
 
-func (x *player) measure() {
+// measureUsage records the memory and descriptors of all controllers at regular intervals, until the trial ends.
+func (r *runner) measureUsage() {
 	for {
 		select {
-		case <-x.stop:
+		case <-r.stop:
 			return
 		case <-time.After(measureInterval):
 		}
-		for i := range x.Controllers {
-			x.lab.Controller(i).Measure()
+		for i := range r.Controllers {
+			r.lab.Controller(i).Measure()
 		}
 	}
 }
 
-// fail keeps the first error of a fault's own making.
-func (x *player) fail(err error) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if err != nil && x.failure == nil {
-		x.failure = err
+// recordError keeps the first error that occurred while faults were applied. Nil is ignored.
+func (r *runner) recordError(err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if err != nil && r.firstError == nil {
+		r.firstError = err
 	}
 }
 
-// claim takes an exchange or a controller for a fault; false if another fault has it.
-func (x *player) claim(taken map[int]bool, n int) bool {
-	x.mu.Lock()
-	defer x.mu.Unlock()
+// claim reserves an exchange or a controller for a fault. It returns false if another fault has it; else the fault must
+// release it.
+func (r *runner) claim(taken map[int]bool, n int) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	if taken[n] {
 		return false
 	}
@@ -160,57 +165,58 @@
 	return true
 }
 
-func (x *player) release(taken map[int]bool, n int) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
+func (r *runner) release(taken map[int]bool, n int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	delete(taken, n)
 }
 
-// carryOut plays a step to its end.
-func (x *player) carryOut(s Step) {
-	x.lab.Record.Add(Event{Kind: Fault, Text: "step: " + s.String()})
+// runStep applies a step's fault and returns at its end. It skips a fault whose target another fault has claimed.
+func (r *runner) runStep(s Step) {
+	r.lab.Record.Add(Event{Kind: Fault, Text: "step: " + s.String()})
 	switch s.Kind {
 	case FaultHang, FaultCutOff, FaultVanish, FaultTakeover, FaultCrashRestart, FaultCrashReplace, FaultDrainReplace:
-		if x.claim(x.faulty, s.Core) {
-			x.fail(x.coreFault(s))
-			x.release(x.faulty, s.Core)
+		if r.claim(r.faultyExchanges, s.Core) {
+			r.recordError(r.coreFault(s))
+			r.release(r.faultyExchanges, s.Core)
 		}
 	case FaultForget, FaultReset, FaultClose:
-		x.lab.Core(s.Core).Disturb(string(s.Kind))
+		r.lab.Core(s.Core).Disturb(string(s.Kind))
 	case FaultLateUp:
-		core := x.lab.Core(s.Core)
+		core := r.lab.Core(s.Core)
 		core.SetLateUp(s.Delay)
 		time.Sleep(s.For)
 		core.SetLateUp(0)
 	case FaultDiscovery:
-		x.discoveryFault(s)
+		r.discoveryFault(s)
 	case FaultRestart, FaultKill:
-		x.restart(s.Controller, shutdownOf(s))
+		r.restart(s.Controller, shutdownOf(s))
 	case FaultSignals:
-		go x.signalSeries(s)
-		x.restart(s.Controller, shutdownOf(s))
+		go r.sendSignals(s)
+		r.restart(s.Controller, shutdownOf(s))
 	case FaultDrainEnds:
-		time.AfterFunc(s.For, x.endCalls)
-		x.restart(s.Controller, shutdownOf(s))
+		time.AfterFunc(s.For, r.endCalls)
+		r.restart(s.Controller, shutdownOf(s))
 	case FaultRestartSeries:
-		x.restartSeries()
+		r.restartSeries()
 	case FaultReload, FaultReloadBad:
-		x.reload(s)
+		r.reload(s)
 	case FaultCrowd:
-		end := x.lab.Callers(s.Controller).Crowd(s.Count)
+		end := r.lab.Callers(s.Controller).Crowd(s.Count)
 		time.Sleep(s.For)
 		end()
 	case FaultBurst:
-		x.lab.Callers(s.Controller).Burst(s.Count)
+		r.lab.Callers(s.Controller).Burst(s.Count)
 	case FaultBadClients:
-		x.lab.Callers(s.Controller).Misbehave(s.Count)
+		r.lab.Callers(s.Controller).Misbehave(s.Count)
 	case FaultMute:
-		x.lab.Callers(s.Controller).Mute()
+		r.lab.Callers(s.Controller).Mute()
 	}
 }
 
-func (x *player) coreFault(s Step) error {
-	core := x.lab.Core(s.Core)
+// coreFault applies a fault to a core whose exchange is claimed.
+func (r *runner) coreFault(s Step) error {
+	core := r.lab.Core(s.Core)
 	switch s.Kind {
 	case FaultHang:
 		core.Hang()
@@ -223,150 +229,153 @@
 	case FaultVanish:
 		core.Vanish()
 		time.Sleep(s.For)
-		x.lab.Discovery.Set(Member{ID: core.ID, State: Gone})
+		r.lab.Discovery.Set(Member{ID: core.ID, State: Gone})
 	case FaultTakeover:
 		core.Vanish()
-		return x.replace(s, false)
+		return r.replace(s, false)
 	case FaultCrashRestart:
 		core.Crash()
-		return x.replace(s, true)
+		return r.replace(s, true)
 	case FaultCrashReplace:
 		core.Crash()
-		return x.replace(s, false)
+		return r.replace(s, false)
 	case FaultDrainReplace:
-		x.lab.Discovery.Set(Member{ID: core.ID, Number: s.Core, State: Draining, Addresses: core.Addresses()})
+		r.lab.Discovery.Set(Member{ID: core.ID, Number: s.Core, State: Draining, Addresses: core.Addresses()})
 		time.Sleep(s.For)
 		core.Crash()
 		s.For, s.Delay = 50*time.Millisecond, 200*time.Millisecond
-		return x.replace(s, false)
+		return r.replace(s, false)
 	}
 	return nil
 }
 
-// replace starts another process in a core's place, and has the list say so.
-func (x *player) replace(s Step, sameID bool) error {
+// replace starts another process at a core's address after For, and announces it in the membership list after Delay.
+func (r *runner) replace(s Step, sameID bool) error {
 	time.Sleep(s.For)
 	started := time.Now()
-	if err := x.lab.Replace(s.Core, sameID); err != nil {
+	if err := r.lab.Replace(s.Core, sameID); err != nil {
 		return err
 	}
 	time.Sleep(s.Delay)
-	x.lab.Announce(s.Core, started)
+	r.lab.Announce(s.Core, started)
 	return nil
 }
 
-// discoveryFault has discovery faulty for a while, unless it is already.
-func (x *player) discoveryFault(s Step) {
-	x.mu.Lock()
-	taken := x.modes > 0
-	if !taken {
-		x.modes++
+// discoveryFault puts discovery into a faulty mode for a while, unless it already is in one.
+func (r *runner) discoveryFault(s Step) {
+	r.mu.Lock()
+	active := r.discoveryFaults > 0
+	if !active {
+		r.discoveryFaults++
 	}
-	x.mu.Unlock()
-	if taken {
+	r.mu.Unlock()
+	if active {
 		return
 	}
-	x.fail(x.lab.Discovery.SetMode(s.Mode, s.Delay))
+	r.recordError(r.lab.Discovery.SetMode(s.Mode, s.Delay))
 	time.Sleep(s.For)
-	x.fail(x.lab.Discovery.SetMode(Prompt, 0))
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.modes--
+	r.recordError(r.lab.Discovery.SetMode(Prompt, 0))
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.discoveryFaults--
 }
 
-// shutdown is how a controller is ended.
+// shutdown describes how a controller is ended.
 type shutdown struct {
-	planned bool          // by SIGTERM, and SIGKILL at the earliest
-	quiet   bool          // callers fall quiet meanwhile
-	down    time.Duration // until the next start
+	graceful    bool          // SIGTERM first, then SIGKILL as early as the settings permit
+	callersStop bool          // callers stop sending during the shutdown
+	downtime    time.Duration // until the next start
 }
 
-// shutdownOf is the shutdown of a step.
+// shutdownOf returns the shutdown that a step describes.
 func shutdownOf(s Step) shutdown {
-	return shutdown{planned: s.Kind != FaultKill, quiet: s.Quiet, down: s.Delay}
+	return shutdown{graceful: s.Kind != FaultKill, callersStop: s.Quiet, downtime: s.Delay}
 }
 
-// restart ends a controller and starts it again. Callers go on using open connections until the kill, unless they fall
-// quiet, and come again at once after the start.
-func (x *player) restart(i int, how shutdown) {
-	if !x.claim(x.starting, i) {
+// restart ends a controller and starts it again. Callers use their open connections until the kill, unless callersStop
+// is set, and resume as soon as the controller is ready.
+func (r *runner) restart(index int, how shutdown) {
+	if !r.claim(r.restarting, index) {
 		return
 	}
-	defer x.release(x.starting, i)
-	controller, callers := x.lab.Controller(i), x.lab.Callers(i)
-	if how.planned {
+	defer r.release(r.restarting, index)
+	controller, callers := r.lab.Controller(index), r.lab.Callers(index)
+	if how.graceful {
 		controller.Signal(syscall.SIGTERM)
-		time.AfterFunc(newConnectionsFor, func() { callers.Pause(true) })
-		if how.quiet {
-			time.AfterFunc(requestsFor, func() { callers.Stop(true) })
+		time.AfterFunc(newConnectionPeriod, func() { callers.Pause(true) })
+		if how.callersStop {
+			time.AfterFunc(requestPeriod, func() { callers.Stop(true) })
 		}
 		select {
-		case <-time.After(x.Settings.KillAfter()):
+		case <-time.After(r.Settings.KillAfter()):
 		case <-controller.Exited():
 		}
 	}
 	controller.Kill()
 	callers.Pause(true)
-	time.Sleep(how.down)
-	x.fail(controller.Start(readyWithin))
+	time.Sleep(how.downtime)
+	r.recordError(controller.Start(readyWithin))
 	callers.Pause(false)
 	callers.Stop(false)
 }
 
-// signalSeries sends a controller that drains SIGTERM and SIGHUP in turn.
-func (x *player) signalSeries(s Step) {
+// sendSignals sends SIGTERM and SIGHUP in turn to a controller that drains.
+func (r *runner) sendSignals(s Step) {
 	for i := range s.Count {
-		time.Sleep(signalGap)
+		time.Sleep(signalInterval)
 		signal := syscall.SIGTERM
 		if i%2 == 1 {
 			signal = syscall.SIGHUP
 		}
-		x.lab.Controller(s.Controller).Signal(signal)
+		r.lab.Controller(s.Controller).Signal(signal)
 	}
 }
 
-// endCalls ends the calls on all cores that are not faulty.
-func (x *player) endCalls() {
-	for n := range x.Cores {
-		if number := n + 1; x.claim(x.faulty, number) {
-			x.lab.Core(number).EndCalls()
-			x.release(x.faulty, number)
+// endCalls ends the standing calls on all cores that no fault has claimed.
+func (r *runner) endCalls() {
+	for n := range r.Cores {
+		if number := n + 1; r.claim(r.faultyExchanges, number) {
+			r.lab.Core(number).EndCalls()
+			r.release(r.faultyExchanges, number)
 		}
 	}
 }
 
-func (x *player) restartSeries() {
+// restartSeries restarts all controllers, each half a kill time after the one before.
+func (r *runner) restartSeries() {
 	var all sync.WaitGroup
-	for i := range x.Controllers {
-		all.Go(func() { x.restart(i, shutdown{planned: true}) })
-		time.Sleep(x.Settings.KillAfter() / 2)
+	for i := range r.Controllers {
+		all.Go(func() { r.restart(i, shutdown{graceful: true}) })
+		time.Sleep(r.Settings.KillAfter() / 2)
 	}
 	all.Wait()
 }
 
-// reload gives a controller new configurations in quick succession, each with another address of discovery.
-func (x *player) reload(s Step) {
-	if !x.claim(x.starting, s.Controller) {
+// reload gives a controller new configurations in quick succession, each with another address of discovery. For
+// FaultReloadBad it writes one invalid configuration, sends SIGHUP and then restores the file.
+func (r *runner) reload(s Step) {
+	if !r.claim(r.restarting, s.Controller) {
 		return
 	}
-	defer x.release(x.starting, s.Controller)
-	controller := x.lab.Controller(s.Controller)
+	defer r.release(r.restarting, s.Controller)
+	controller := r.lab.Controller(s.Controller)
 	if s.Kind == FaultReloadBad {
-		x.fail(controller.WriteConfig(true))
+		r.recordError(controller.WriteConfig(true))
 		controller.Signal(syscall.SIGHUP)
-		time.Sleep(reloadGap)
-		x.fail(controller.WriteConfig(false))
+		time.Sleep(reloadInterval)
+		r.recordError(controller.WriteConfig(false))
 		return
 	}
 	for range s.Count {
-		x.fail(x.lab.Discovery.Move(controller.Name))
-		x.fail(controller.WriteConfig(false))
+		r.recordError(r.lab.Discovery.Move(controller.Name))
+		r.recordError(controller.WriteConfig(false))
 		controller.Signal(syscall.SIGHUP)
-		time.Sleep(reloadGap)
+		time.Sleep(reloadInterval)
 	}
 }
 
-// Save writes the plan, the events and the findings to the trial's folder.
+// Save writes events.jsonl with the events and findings.txt with the findings and the plan's steps to the trial's
+// folder.
 func (t Trial) Save() error {
 	record, err := os.Create(filepath.Join(t.Dir, "events.jsonl"))
 	if err != nil {
@@ -384,7 +393,7 @@
 	defer findings.Close()
 	for _, f := range t.Verdict.Findings {
 		fmt.Fprintln(findings, f)
-		for _, e := range f.Lines {
+		for _, e := range f.Evidence {
 			fmt.Fprintf(findings, "    %8.3f %s call=%s controller=%s core=%s connection=%d status=%d cause=%d %s\n", e.At.Seconds(), e.Kind, e.Call,
 				e.Controller, e.Core, e.Connection, e.Status, e.Cause, e.Text)
 		}
--- a/internal/faulttrial/summary.go
+++ b/internal/faulttrial/summary.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// Has tells whether a rule was broken.
+// Has reports whether the verdict has a finding of a rule.
 func (v Verdict) Has(rule Rule) bool {
 	return slices.ContainsFunc(v.Findings, func(f Finding) bool { return f.Rule == rule })
 }
 
-// Summary adds up trials.
+// Summary holds the totals of a series of trials. The zero value is ready for use.
 type Summary struct {
 	Trials, Failed int
 	Calls          int
 	Stood          int
 	Refused        int
 	Cut            int
-	Sendings       int
+	CoreSetups     int
 	Lag            time.Duration
 	Steps          map[FaultKind]int
 	Findings       map[Rule]int
@@ -28,7 +28,7 @@
 	Excused        map[string]int
 }
 
-// Add counts a trial; with an error it was not played to its end.
+// Add adds a trial to the totals. A trial with an error did not run to its end and counts as failed.
 func (s *Summary) Add(t Trial, err error) {
 	if s.Steps == nil {
 		s.Steps, s.Findings, s.Seeds, s.Excused = map[FaultKind]int{}, map[Rule]int{}, map[Rule][]uint64{}, map[string]int{}
@@ -41,7 +41,7 @@
 	s.Stood += t.Verdict.Stood
 	s.Refused += t.Verdict.Refused
 	s.Cut += t.Verdict.Cut
-	s.Sendings += t.Verdict.Sendings
+	s.CoreSetups += t.Verdict.CoreSetups
 	s.Lag = max(s.Lag, t.Lag)
 	for _, step := range t.Plan.Steps {
 		s.Steps[step.Kind]++
@@ -57,8 +57,8 @@
 	}
 }
 
-// Found is how many findings there are, trials that failed with them.
-func (s *Summary) Found() int {
+// Problems returns the number of findings and failed trials.
+func (s *Summary) Problems() int {
 	n := s.Failed
 	for _, found := range s.Findings {
 		n += found
@@ -66,15 +66,15 @@
 	return n
 }
 
-// Markdown is the summary as tables.
+// Markdown returns the summary as Markdown tables.
 func (s *Summary) Markdown() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d trials (%d not played to the end), %d calls, %d stood, %d refused, %d cut by the controller, %d set-ups at cores, timers %v late at most\n\n",
-		s.Trials, s.Failed, s.Calls, s.Stood, s.Refused, s.Cut, s.Sendings, s.Lag.Round(time.Millisecond))
+	fmt.Fprintf(&b, "%d trials (%d not run to the end), %d calls, %d stood, %d refused, %d cut by the controller, %d set-ups at cores, timers %v late at most\n\n",
+		s.Trials, s.Failed, s.Calls, s.Stood, s.Refused, s.Cut, s.CoreSetups, s.Lag.Round(time.Millisecond))
 	b.WriteString("| rule | findings | trials | seeds |\n| --- | --- | --- | --- |\n")
 	for _, rule := range Rules {
-		list := slices.Sorted(slices.Values(s.Seeds[rule]))
-		fmt.Fprintf(&b, "| %s | %d | %d | %v |\n", rule, s.Findings[rule], len(list), list)
+		seeds := slices.Sorted(slices.Values(s.Seeds[rule]))
+		fmt.Fprintf(&b, "| %s | %d | %d | %v |\n", rule, s.Findings[rule], len(seeds), seeds)
 	}
 	b.WriteString("\n| fault | times |\n| --- | --- |\n")
 	for _, kind := range FaultKinds {
