--- a/internal/playback/actor.go
+++ b/internal/playback/actor.go
@@ -16,7 +16,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// actor is one end of what the program speaks with.
+// actor is a caller, core, M3UA peer or exchange that exchanges messages with the program.
 type actor struct {
 	name, addr string
 	listener   net.Listener // of a core or an exchange
@@ -24,38 +24,39 @@
 	conn       net.Conn
 	r          *bufio.Reader
 
-	// Of a core, to which the program has several connections:
-	lines  chan line           // what they bring
-	aside  []line              // what came on others while the end of one was waited for
-	calls  map[string]net.Conn // the one that brought a call's set-up
-	ended  map[net.Conn]bool
-	stands map[string]bool // calls that it has answered
-	closed chan struct{}   // when nothing more is accepted
-	all    []net.Conn      // complete then
+	// The program may open several connections to a core. Exchanges use only ended, acceptDone and accepted.
+	received   chan coreEvent      // from all connections
+	deferred   []coreEvent         // received on other connections while waiting for the end of one
+	connOfCall map[string]net.Conn // by call: the connection that carried its set-up
+	ended      map[net.Conn]bool
+	answered   map[string]bool // calls that the core has answered
+	acceptDone chan struct{}   // closed when no more connections are accepted
+	accepted   []net.Conn      // complete once acceptDone is closed
 
-	following sync.WaitGroup
+	readers sync.WaitGroup
 }
 
-// line is what a core's connection brought, or the end of the connection.
-type line struct {
-	text []byte
-	err  error
-	conn net.Conn
+// coreEvent is a message on a connection to a core, or the end of the connection.
+type coreEvent struct {
+	message []byte
+	err     error
+	conn    net.Conn
 }
 
-// follow reads one of a core's connections to its end: the program may have several, and uses any of them.
-func (a *actor) follow(c net.Conn) {
+// readConn passes on the messages of one connection to a core until it ends. The program may use several connections
+// at once.
+func (a *actor) readConn(c net.Conn) {
 	for r := bufio.NewReaderSize(c, 1<<16); ; {
-		b, err := r.ReadBytes('\n')
-		if a.lines <- (line{b, err, c}); err != nil {
-			c.Close() // as any server does when its client has closed
+		message, err := r.ReadBytes('\n')
+		if a.received <- (coreEvent{message, err, c}); err != nil {
+			c.Close() // as a server does when its client has closed
 			return
 		}
 	}
 }
 
-// connect opens the actor's connection, or takes the program's next one.
-func (a *actor) connect(s *stage) {
+// connect opens the actor's connection. For a core or an exchange it takes the next connection from the program.
+func (a *actor) connect(s *session) {
 	if a.conn != nil {
 		return
 	}
@@ -63,8 +64,8 @@
 		for a.conn == nil || a.ended[a.conn] {
 			select {
 			case a.conn = <-a.conns:
-			case <-time.After(patience):
-				require.Fail(s.t, "no connection", "%s\n%s", a.name, s.log)
+			case <-time.After(stepTimeout):
+				require.Fail(s.t, "the program does not connect", "%s\n%s", a.name, s.log)
 			}
 		}
 	} else {
@@ -79,70 +80,72 @@
 	a.r = bufio.NewReaderSize(a.conn, 1<<16)
 }
 
-func (a *actor) hex() bool { return a.name[0] == 'p' || a.name[0] == 'x' }
+// usesHex reports whether the actor's payloads are hex: those of M3UA peers and exchanges.
+func (a *actor) usesHex() bool { return a.name[0] == 'p' || a.name[0] == 'x' }
 
-// beat tells whether a message is a BEAT (RFC 4666, 3.5.5).
-func beat(b []byte) bool { return len(b) > 3 && b[2] == 3 && b[3] == 3 }
+// isBeat reports whether a message is an M3UA BEAT (RFC 4666, 3.5.5).
+func isBeat(b []byte) bool { return len(b) > 3 && b[2] == 3 && b[3] == 3 }
 
-// readLine reads a core's next message, from whichever connection, or the end of the present one. Where that end is waited
-// for, what comes on others meanwhile is kept for the next steps: nothing orders one connection's events and another's.
-func (a *actor) readLine(closing bool) ([]byte, error) {
+// readCore returns the next message to a core on any connection, or an error if the current connection ends while a
+// set-up on it is pending. With awaitEnd it returns an error once the current connection ends, and defers messages on
+// other connections to the next steps: events on different connections have no defined order.
+func (a *actor) readCore(awaitEnd bool) ([]byte, error) {
 	for {
-		l, err := a.nextLine(closing)
+		e, err := a.nextEvent(awaitEnd)
 		switch {
 		case err != nil:
 			return nil, err
-		case l.err == nil && closing && l.conn != a.conn:
-			a.aside = append(a.aside, l)
-		case l.err == nil:
-			a.conn = l.conn
-			a.calls[jsonID(l.text)] = l.conn
-			return l.text, nil
+		case e.err == nil && awaitEnd && e.conn != a.conn:
+			a.deferred = append(a.deferred, e)
+		case e.err == nil:
+			a.conn = e.conn
+			a.connOfCall[jsonID(e.message)] = e.conn
+			return e.message, nil
 		default:
-			// One that carries no call may end at any time, as one that the program found to be of no use.
-			if a.ended[l.conn] = true; l.conn == a.conn && (closing || a.carries(l.conn)) {
-				return nil, l.err
+			// The program may close a connection without calls at any time.
+			if a.ended[e.conn] = true; e.conn == a.conn && (awaitEnd || a.hasPendingSetUp(e.conn)) {
+				return nil, e.err
 			}
 		}
 	}
 }
 
-// nextLine takes the next line, of those that were kept first, unless the end of a connection is waited for.
-func (a *actor) nextLine(closing bool) (line, error) {
-	if len(a.aside) > 0 && !closing {
-		l := a.aside[0]
-		a.aside = a.aside[1:]
-		return l, nil
+// nextEvent returns the next event: the deferred ones first, unless the caller awaits the end of a connection.
+func (a *actor) nextEvent(awaitEnd bool) (coreEvent, error) {
+	if len(a.deferred) > 0 && !awaitEnd {
+		e := a.deferred[0]
+		a.deferred = a.deferred[1:]
+		return e, nil
 	}
 	select {
-	case l := <-a.lines:
-		return l, nil
-	case <-time.After(patience):
-		return line{}, os.ErrDeadlineExceeded
+	case e := <-a.received:
+		return e, nil
+	case <-time.After(stepTimeout):
+		return coreEvent{}, os.ErrDeadlineExceeded
 	}
 }
 
-// carries tells whether a set-up that a connection brought is not answered yet.
-func (a *actor) carries(conn net.Conn) bool {
-	for k, c := range a.calls {
-		if c == conn && !a.stands[k] {
+// hasPendingSetUp reports whether a set-up that arrived on the connection has not been answered.
+func (a *actor) hasPendingSetUp(conn net.Conn) bool {
+	for call, c := range a.connOfCall {
+		if c == conn && !a.answered[call] {
 			return true
 		}
 	}
 	return false
 }
 
-// chooseOpen makes another connection the present one where that has ended: a core sends what concerns a call on the
-// connection of its set-up, or else on any open one.
-func (a *actor) chooseOpen() {
+// selectOpenConn selects another connection if the current one has ended: a core sends a message about a call on the
+// connection of the call's set-up or, if that has ended, on any open one.
+func (a *actor) selectOpenConn() {
 	for {
 		select {
-		case l := <-a.lines:
-			if l.err == nil {
-				a.lines <- l
-				return // the connections that ended come with the lines, in order
+		case e := <-a.received:
+			if e.err == nil {
+				a.received <- e
+				return // received holds messages and ends of connections in order
 			}
-			a.ended[l.conn] = true
+			a.ended[e.conn] = true
 			continue
 		default:
 		}
@@ -165,44 +168,44 @@
 	}
 }
 
-// rest returns what a core was sent beside what the steps expected, once the program has ended.
-func (a *actor) rest() string {
-	a.following.Wait()
-	close(a.lines)
+// remaining returns the messages to a core that no step has read. The program must have exited.
+func (a *actor) remaining() string {
+	a.readers.Wait()
+	close(a.received)
 	var out strings.Builder
-	for _, l := range a.aside {
-		out.Write(l.text)
+	for _, e := range a.deferred {
+		out.Write(e.message)
 	}
-	for l := range a.lines {
-		out.Write(l.text)
+	for e := range a.received {
+		out.Write(e.message)
 	}
 	return out.String()
 }
 
-// text puts the words into a payload.
-func (a *actor) text(s *stage, payload string) string {
-	for k, v := range s.words {
-		payload = strings.ReplaceAll(payload, "<"+k+">", v)
+// expandCaptures replaces each <name> in a payload by the captured word.
+func (a *actor) expandCaptures(s *session, payload string) string {
+	for name, value := range s.captures {
+		payload = strings.ReplaceAll(payload, "<"+name+">", value)
 	}
 	return payload
 }
 
-// choose makes the connection of the first of these calls that has one the present one.
-func (a *actor) choose(calls ...string) {
-	for _, k := range calls {
-		if a.calls[k] != nil {
-			a.conn = a.calls[k]
+// selectConnOf selects the connection of the first of the calls that has one.
+func (a *actor) selectConnOf(calls ...string) {
+	for _, call := range calls {
+		if a.connOfCall[call] != nil {
+			a.conn = a.connOfCall[call]
 			return
 		}
 	}
 }
 
-// encode turns a payload into bytes.
-func (a *actor) encode(s *stage, payload string) []byte {
-	payload = a.text(s, payload)
+// encode converts a payload to the bytes of a message.
+func (a *actor) encode(s *session, payload string) []byte {
+	payload = a.expandCaptures(s, payload)
 	switch {
-	case a.hex():
-		b, err := hex.DecodeString(plainHex(payload))
+	case a.usesHex():
+		b, err := hex.DecodeString(stripHex(payload))
 		require.NoError(s.t, err)
 		return b
 	case a.name[0] == 'c':
@@ -214,11 +217,11 @@
 	return []byte(strings.ReplaceAll(head, "\n", "\r\n") + "\r\n\r\n" + body)
 }
 
-// jsonID reads the call that a core's message is of.
+// jsonID returns the call id in a message of a core's connection.
 func jsonID(b []byte) string { return fastjson.GetString(b, "id") }
 
-// plainHex strips comments and blanks.
-func plainHex(payload string) string {
+// stripHex removes comments, spaces and line breaks from a hex payload.
+func stripHex(payload string) string {
 	var b strings.Builder
 	for line := range strings.SplitSeq(payload, "\n") {
 		line, _, _ = strings.Cut(line, ";")
@@ -227,16 +230,16 @@
 	return b.String()
 }
 
-// read reads one message.
-func (a *actor) read(closing bool) ([]byte, error) {
+// read returns the actor's next message; awaitEnd is for cores, see readCore.
+func (a *actor) read(awaitEnd bool) ([]byte, error) {
 	if a.name[0] == 'c' {
-		return a.readLine(closing) // from any of its connections: the present one may have ended
+		return a.readCore(awaitEnd) // from any connection, as the current one may have ended
 	}
-	if err := a.conn.SetReadDeadline(time.Now().Add(patience)); err != nil {
+	if err := a.conn.SetReadDeadline(time.Now().Add(stepTimeout)); err != nil {
 		return nil, err
 	}
 	switch {
-	case a.hex():
+	case a.usesHex():
 		head, err := a.r.Peek(8)
 		if err != nil {
 			return nil, err
--- a/internal/playback/gnmi.go
+++ b/internal/playback/gnmi.go
@@ -15,28 +15,28 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// operator is a gNMI client. Its steps are messages as text: "sends" names the call and the request, "gets"
-// the response without its timestamps, or "code NAME".
+// operator is a gNMI client. The payload of "sends" is the RPC name and the request in text format; that of "gets" is
+// the expected response without its timestamps, or "code NAME" for a gRPC status.
 type operator struct {
-	conn   *grpc.ClientConn
-	cancel context.CancelFunc
-	ctx    context.Context
-	stream gnmi.GNMI_SubscribeClient
-	got    proto.Message
-	err    error
+	conn     *grpc.ClientConn
+	cancel   context.CancelFunc
+	ctx      context.Context
+	stream   gnmi.GNMI_SubscribeClient
+	response proto.Message
+	err      error
 }
 
-// operate plays an operator's step.
-func (s *stage) operate(name, verb, payload string) {
+// runOperatorStep plays a step of an operator, which connects on its first step.
+func (s *session) runOperatorStep(name, verb, payload string) {
 	o := s.operators[name]
 	if o == nil {
 		creds := insecure.NewCredentials()
-		if s.tls != nil {
-			creds = s.tls.operator(s.t, name)
+		if s.authority != nil {
+			creds = s.authority.operatorCredentials(s.t, name)
 		}
 		conn, err := grpc.NewClient(s.log.address(s.t, "gnmi listens"), grpc.WithTransportCredentials(creds))
 		require.NoError(s.t, err)
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), stepTimeout)
 		o = &operator{conn: conn, ctx: ctx, cancel: cancel}
 		s.operators[name] = o
 		s.t.Cleanup(func() { cancel(); conn.Close() })
@@ -46,67 +46,68 @@
 		return
 	}
 	o.receive()
-	defer func() { o.got, o.err = nil, nil }()
+	defer func() { o.response, o.err = nil, nil }()
 	if code, ok := strings.CutPrefix(payload, "code "); ok {
 		require.Error(s.t, o.err)
 		require.Equal(s.t, code, status.Code(o.err).String(), "%v", o.err)
 		return
 	}
 	require.NoError(s.t, o.err)
-	want := o.got.ProtoReflect().New().Interface()
+	want := o.response.ProtoReflect().New().Interface()
 	require.NoError(s.t, prototext.Unmarshal([]byte(payload), want))
-	stamps := regexp.MustCompile(`timestamp:\s*\d+\s*`)
-	got := stamps.ReplaceAllString(prototext.MarshalOptions{Multiline: true}.Format(o.got), "")
-	require.Equal(s.t, clean(prototext.MarshalOptions{Multiline: true}.Format(want)), clean(got))
+	timestamps := regexp.MustCompile(`timestamp:\s*\d+\s*`)
+	got := timestamps.ReplaceAllString(prototext.MarshalOptions{Multiline: true}.Format(o.response), "")
+	require.Equal(s.t, normalizeSpace(prototext.MarshalOptions{Multiline: true}.Format(want)), normalizeSpace(got))
 }
 
-// clean undoes the blanks that prototext puts in at random so that nobody relies on its form.
-func clean(text string) string { return strings.Join(strings.Fields(text), " ") }
+// normalizeSpace collapses white space: prototext varies it at random so that nobody relies on the exact output.
+func normalizeSpace(text string) string { return strings.Join(strings.Fields(text), " ") }
 
-// send makes a call. One that finds no leader, as right after the start, is made again.
-func (o *operator) send(s *stage, payload string) {
+// send makes an RPC. A Set that fails with Unavailable is repeated until stepTimeout: shortly after the start the store
+// has no leader.
+func (o *operator) send(s *session, payload string) {
 	name, text, _ := strings.Cut(payload, "\n")
-	call := func(m proto.Message) {
+	parse := func(m proto.Message) {
 		require.NoError(s.t, prototext.Unmarshal([]byte(text), m))
 	}
 	c := gnmi.NewGNMIClient(o.conn)
-	o.got, o.err = nil, nil
+	o.response, o.err = nil, nil
 	switch name {
 	case "Capabilities":
-		o.got, o.err = c.Capabilities(o.ctx, &gnmi.CapabilityRequest{})
+		o.response, o.err = c.Capabilities(o.ctx, &gnmi.CapabilityRequest{})
 	case "Get":
 		r := &gnmi.GetRequest{}
-		call(r)
-		o.got, o.err = c.Get(o.ctx, r)
+		parse(r)
+		o.response, o.err = c.Get(o.ctx, r)
 	case "Set":
 		r := &gnmi.SetRequest{}
-		call(r)
-		for deadline := time.Now().Add(patience); ; {
-			o.got, o.err = c.Set(o.ctx, r)
+		parse(r)
+		for deadline := time.Now().Add(stepTimeout); ; {
+			o.response, o.err = c.Set(o.ctx, r)
 			if status.Code(o.err).String() != "Unavailable" || time.Now().After(deadline) {
 				return
 			}
 		}
 	case "Subscribe":
 		r := &gnmi.SubscribeRequest{}
-		call(r)
+		parse(r)
 		if r.GetSubscribe() != nil || o.stream == nil {
 			o.stream, o.err = c.Subscribe(o.ctx)
 			require.NoError(s.t, o.err)
 		}
 		require.NoError(s.t, o.stream.Send(r))
 	default:
-		require.Fail(s.t, "unknown call", name)
+		require.Fail(s.t, "unknown RPC", name)
 	}
 }
 
-// receive waits for the next message of a stream, where the last call was one.
+// receive waits for the next message of the stream if the last RPC was Subscribe; other responses are already there.
 func (o *operator) receive() {
-	if o.got == nil && o.err == nil {
+	if o.response == nil && o.err == nil {
 		var m *gnmi.SubscribeResponse
 		m, o.err = o.stream.Recv()
 		if o.err == nil {
-			o.got = m
+			o.response = m
 		}
 	}
 }
--- a/internal/playback/ledger.go
+++ b/internal/playback/ledger.go
@@ -12,66 +12,69 @@
 	"github.com/valyala/fastjson"
 )
 
-// ledger is what was seen of every call, on whichever wire, and the rules that it must keep.
+// ledger records the messages of every call on all protocols and checks these rules: a call has at most one open
+// attempt, it is not sent again within the release wait after a failed attempt, and its caller receives one final
+// answer.
 type ledger struct {
-	t     *testing.T
-	asked map[string]int       // by caller and call: final answers owed by the program
-	final map[string]int       // by caller and call: final answers got
-	moot  map[string]bool      // given up by the caller, or its connection ended: no answer is owed
-	out   map[string]string    // by call: the core that has an attempt
-	bad   map[string]time.Time // by call: when an attempt was given up or reset
-
-	stands   map[string]bool // by caller and call: answered, and not over
-	released map[string]bool // by core and call: released by the program
+	t         *testing.T
+	expected  map[string]int       // by caller and call: final answers expected from the program
+	received  map[string]int       // by caller and call: final answers received
+	abandoned map[string]bool      // by caller and call: cancelled or connection ended, so an answer is optional
+	attemptAt map[string]string    // by call: the core or exchange with the open attempt
+	failedAt  map[string]time.Time // by call: when an attempt was cancelled or reset
+
+	standing map[string]bool // answered calls that are not over, by caller and call; by Call-ID alone for SIP
+	released map[string]bool // by core and call: the program has sent a release
 }
 
-const releaseWait = 300 * time.Millisecond
+const releaseWait = 300 * time.Millisecond // releaseGuardMs in the program's configuration
 
-// key names a call on a caller's connection.
-func key(actor, call string) string { return actor + "/" + call }
+// callKey identifies a call of an actor.
+func callKey(actor, call string) string { return actor + "/" + call }
 
 func newLedger(t *testing.T) *ledger {
-	return &ledger{t: t, asked: map[string]int{}, final: map[string]int{}, moot: map[string]bool{},
-		out: map[string]string{}, bad: map[string]time.Time{}, stands: map[string]bool{}, released: map[string]bool{}}
+	return &ledger{t: t, expected: map[string]int{}, received: map[string]int{}, abandoned: map[string]bool{},
+		attemptAt: map[string]string{}, failedAt: map[string]time.Time{}, standing: map[string]bool{},
+		released: map[string]bool{}}
 }
 
-// sent books what an actor sends.
-func (l *ledger) sent(actor string, b []byte) {
+// recordSent records a message that an actor sends.
+func (l *ledger) recordSent(actor string, b []byte) {
 	switch actor[0] {
 	case 'c':
 		v, err := fastjson.ParseBytes(b)
 		if err != nil {
-			return // on purpose malformed
+			return // malformed on purpose
 		}
 		call := string(v.GetStringBytes("id"))
 		if string(v.GetStringBytes("type")) == "release" {
-			l.ended(actor, call, v.GetInt("cause") == 41)
+			l.attemptEnded(actor, call, v.GetInt("cause") == 41)
 		}
 	case 'p':
 		if kind, cic := isup(b); kind == 0x01 {
-			l.asked[key(actor, cic)]++
+			l.expected[callKey(actor, cic)]++
 		} else if kind == 0x0c {
-			l.moot[key(actor, cic)] = true
-			delete(l.stands, key(actor, cic))
+			l.abandoned[callKey(actor, cic)] = true
+			delete(l.standing, callKey(actor, cic))
 		}
 	case 'x':
 		if kind, cic := isup(b); kind == 0x0c {
-			l.ended(actor, actor+cic, false)
+			l.attemptEnded(actor, actor+cic, false)
 		}
 	default:
 		method, _, _ := strings.Cut(string(b), " ")
-		if k := key(actor, callID(b)); method == "INVITE" && l.final[k] >= l.asked[k] {
-			l.asked[k]++ // two under one id are owed one answer
+		if k := callKey(actor, callID(b)); method == "INVITE" && l.received[k] >= l.expected[k] {
+			l.expected[k]++ // a repeated INVITE with the same Call-ID expects no further answer
 		} else if method == "CANCEL" {
-			l.moot[key(actor, callID(b))] = true
+			l.abandoned[callKey(actor, callID(b))] = true
 		} else if method == "BYE" {
-			delete(l.stands, callID(b))
+			delete(l.standing, callID(b))
 		}
 	}
 }
 
-// got books what an actor gets from the program.
-func (l *ledger) got(actor string, b []byte) {
+// recordReceived records a message that an actor receives from the program.
+func (l *ledger) recordReceived(actor string, b []byte) {
 	switch actor[0] {
 	case 'c':
 		v, err := fastjson.ParseBytes(b)
@@ -79,80 +82,83 @@
 		call := string(v.GetStringBytes("id"))
 		switch string(v.GetStringBytes("type")) {
 		case "setup":
-			l.begun(actor, call)
+			l.attemptStarted(actor, call)
 		case "release":
-			l.released[key(actor, call)] = true
-			l.ended(actor, call, true)
+			l.released[callKey(actor, call)] = true
+			l.attemptEnded(actor, call, true)
 		}
 	case 'p':
 		switch kind, cic := isup(b); kind {
 		case 0x09:
-			l.stands[key(actor, cic)] = true
+			l.standing[callKey(actor, cic)] = true
 		case 0x0c:
-			delete(l.stands, key(actor, cic))
+			delete(l.standing, callKey(actor, cic))
 		}
-		// A circuit carries one call after another; a REL is its answer where none came before.
-		if kind, cic := isup(b); kind == 0x09 || kind == 0x0c && l.final[key(actor, cic)] < l.asked[key(actor, cic)] {
-			l.final[key(actor, cic)]++
+		// A circuit carries successive calls. A REL is a final answer only if the call has none yet.
+		if kind, cic := isup(b); kind == 0x09 ||
+			kind == 0x0c && l.received[callKey(actor, cic)] < l.expected[callKey(actor, cic)] {
+			l.received[callKey(actor, cic)]++
 		}
 	case 'x':
 		if kind, cic := isup(b); kind == 0x01 {
-			l.begun(actor, actor+cic)
+			l.attemptStarted(actor, actor+cic)
 		} else if kind == 0x0c {
-			l.ended(actor, actor+cic, true)
+			l.attemptEnded(actor, actor+cic, true)
 		}
 	default:
-		text, k := string(b), key(actor, callID(b))
+		text, k := string(b), callKey(actor, callID(b))
 		if strings.HasPrefix(text, "SIP/2.0 ") && strings.Contains(text, " INVITE\r\n") && b[8] > '1' {
-			l.final[k]++
-			l.stands[callID(b)] = l.stands[callID(b)] || b[8] == '2'
+			l.received[k]++
+			l.standing[callID(b)] = l.standing[callID(b)] || b[8] == '2'
 		} else if strings.HasPrefix(text, "BYE ") {
-			delete(l.stands, callID(b))
+			delete(l.standing, callID(b))
 		}
 	}
 }
 
-// begun books a set-up: no other may be out, and the release wait must be over.
-func (l *ledger) begun(core, call string) {
-	require.Empty(l.t, l.out[call], "%s gets call %s while %s has it", core, call, l.out[call])
-	if since, ok := l.bad[call]; ok {
-		require.GreaterOrEqual(l.t, time.Since(since), releaseWait, "call %s is sent again too soon", call)
+// attemptStarted records a set-up: the call must have no open attempt, and its release wait must be over.
+func (l *ledger) attemptStarted(core, call string) {
+	require.Empty(l.t, l.attemptAt[call], "%s receives call %s during its attempt at %s", core, call, l.attemptAt[call])
+	if since, ok := l.failedAt[call]; ok {
+		require.GreaterOrEqual(l.t, time.Since(since), releaseWait, "call %s is sent again within the release wait", call)
 	}
-	l.out[call] = core
+	l.attemptAt[call] = core
 }
 
-// ended books the end of an attempt; after a bad one the release wait runs.
-func (l *ledger) ended(core, call string, bad bool) {
-	if l.out[call] == core {
-		delete(l.out, call)
-		if bad {
-			l.bad[call] = time.Now()
+// attemptEnded records the end of an attempt; failed starts the call's release wait.
+func (l *ledger) attemptEnded(core, call string, failed bool) {
+	if l.attemptAt[call] == core {
+		delete(l.attemptAt, call)
+		if failed {
+			l.failedAt[call] = time.Now()
 		}
 	}
 }
 
-// over books the end of a connection: attempts on it are reset, callers on it are owed nothing. on tells which
-// of a core's connections has a call, nil where there is but one; now, whether the release wait runs from now on.
-func (l *ledger) over(actor string, on map[string]net.Conn, conn net.Conn, now bool) {
-	for call, core := range l.out {
-		if core == actor && (on == nil || on[call] == conn) {
-			l.ended(actor, call, now)
+// connectionEnded records the end of an actor's connection: attempts on it end, and its callers expect no answer.
+// connOfCall maps calls to the connections of a core; it is nil if the actor has only one connection. startWait
+// starts the release wait of the ended attempts.
+func (l *ledger) connectionEnded(actor string, connOfCall map[string]net.Conn, conn net.Conn, startWait bool) {
+	for call, core := range l.attemptAt {
+		if core == actor && (connOfCall == nil || connOfCall[call] == conn) {
+			l.attemptEnded(actor, call, startWait)
 		}
 	}
-	for k := range l.asked {
+	for k := range l.expected {
 		if strings.HasPrefix(k, actor+"/") {
-			l.moot[k] = true
+			l.abandoned[k] = true
 		}
 	}
 }
 
-// repeated returns what a core got without releases that it had got before: they may come again on another
-// connection, as the first may not have been read.
-func (l *ledger) repeated(core, text string) string {
+// dropRepeatedReleases returns a core's unread messages without the releases that it has already received: the program
+// may repeat a release on another connection, as the core may not have read the first one.
+func (l *ledger) dropRepeatedReleases(core, text string) string {
 	var out strings.Builder
 	for line := range strings.Lines(text) {
 		v, err := fastjson.Parse(line)
-		if err == nil && string(v.GetStringBytes("type")) == "release" && l.released[key(core, string(v.GetStringBytes("id")))] {
+		if err == nil && string(v.GetStringBytes("type")) == "release" &&
+			l.released[callKey(core, string(v.GetStringBytes("id")))] {
 			continue
 		}
 		out.WriteString(line)
@@ -160,9 +166,9 @@
 	return out.String()
 }
 
-// overAtLast returns what a caller or peer got at the end without the releases of calls that stood until then, one
-// each, and without the signs of an association that ends.
-func (l *ledger) overAtLast(actor string, b []byte) []byte {
+// dropFinalReleases returns the unread messages of a caller, peer or exchange without one release for each call that
+// stood until the end, and without M3UA BEATs.
+func (l *ledger) dropFinalReleases(actor string, b []byte) []byte {
 	var out []byte
 	for len(b) > 0 {
 		n := len(b)
@@ -171,17 +177,17 @@
 				n = min(n, int(binary.BigEndian.Uint32(b[4:8])))
 			}
 			kind, cic := isup(b[:n])
-			if k := key(actor, cic); kind == 0x0c && l.stands[k] {
-				delete(l.stands, k)
-			} else if !beat(b[:n]) {
+			if k := callKey(actor, cic); kind == 0x0c && l.standing[k] {
+				delete(l.standing, k)
+			} else if !isBeat(b[:n]) {
 				out = append(out, b[:n]...)
 			}
 		} else {
 			if i := strings.Index(string(b), "\r\n\r\n"); i >= 0 && strings.HasPrefix(string(b), "BYE ") {
 				n = i + len("\r\n\r\n") // a BYE has no body
 			}
-			if id := callID(b[:n]); strings.HasPrefix(string(b), "BYE ") && l.stands[id] {
-				delete(l.stands, id)
+			if id := callID(b[:n]); strings.HasPrefix(string(b), "BYE ") && l.standing[id] {
+				delete(l.standing, id)
 			} else {
 				out = append(out, b[:n]...)
 			}
@@ -191,31 +197,32 @@
 	return out
 }
 
-// check asserts that every call got its one final answer.
-func (l *ledger) check() {
-	for k := range l.asked {
-		if l.moot[k] {
-			require.LessOrEqual(l.t, l.final[k], l.asked[k], "final answers to %s", k)
+// checkAnswers asserts that every call received its final answer, and none received more than one; the answer is
+// optional for abandoned calls.
+func (l *ledger) checkAnswers() {
+	for k := range l.expected {
+		if l.abandoned[k] {
+			require.LessOrEqual(l.t, l.received[k], l.expected[k], "final answers to %s", k)
 		} else {
-			require.Equal(l.t, l.asked[k], l.final[k], "final answers to %s", k)
+			require.Equal(l.t, l.expected[k], l.received[k], "final answers to %s", k)
 		}
 	}
 }
 
-// callID reads a SIP message's call.
+// callID returns the Call-ID of a SIP message.
 func callID(b []byte) string {
 	_, rest, _ := strings.Cut(string(b), "\r\nCall-ID: ")
 	id, _, _ := strings.Cut(rest, "\r\n")
 	return id
 }
 
-// isup reads the type and circuit of the ISUP message in an M3UA DATA message, in which the protocol data
-// comes last.
+// isup returns the type and circuit identification code (CIC) of the ISUP message in an M3UA DATA message, whose last
+// parameter is the protocol data. It returns 0 and "" for other messages.
 func isup(b []byte) (kind byte, cic string) {
 	const routingContext, label = 8, 4 + 12
 	if len(b) < 8+routingContext+label+3 || b[2] != 1 || b[3] != 1 {
 		return 0, ""
 	}
-	u := b[8+routingContext+label:]
-	return u[2], fmt.Sprint(binary.LittleEndian.Uint16(u))
+	message := b[8+routingContext+label:]
+	return message[2], fmt.Sprint(binary.LittleEndian.Uint16(message))
 }
--- a/internal/playback/log.go
+++ b/internal/playback/log.go
@@ -10,16 +10,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// log keeps what the program writes and tells when there is more.
+// log holds the program's output and wakes waiters when it grows.
 type log struct {
-	mu   sync.Mutex
-	text strings.Builder
-	more *sync.Cond
+	mu      sync.Mutex
+	text    strings.Builder
+	updated *sync.Cond
 }
 
 func newLog() *log {
 	l := &log{}
-	l.more = sync.NewCond(&l.mu)
+	l.updated = sync.NewCond(&l.mu)
 	return l
 }
 
@@ -27,38 +27,38 @@
 func (l *log) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.more.Broadcast()
+	l.updated.Broadcast()
 	return l.text.Write(b)
 }
 
-// String returns all of it.
+// String returns the whole output.
 func (l *log) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// await waits until the log holds a text so many times.
-func (l *log) await(text string, times int) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// await waits until the log contains text at least count times and reports whether it does within stepTimeout.
+func (l *log) await(text string, count int) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), stepTimeout)
 	defer cancel()
 	defer context.AfterFunc(ctx, func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.more.Broadcast()
+		l.updated.Broadcast()
 	})()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for strings.Count(l.text.String(), text) < times {
+	for strings.Count(l.text.String(), text) < count {
 		if ctx.Err() != nil {
 			return false
 		}
-		l.more.Wait()
+		l.updated.Wait()
 	}
 	return true
 }
 
-// address waits for the line that tells where a front listens, and takes the last one.
+// address waits for the log line with a listener's address and returns the address from the last such line.
 func (l *log) address(t *testing.T, front string) string {
 	require.True(t, l.await(`msg="`+front+`"`, 1), "%s", l)
 	all := regexp.MustCompile(`msg="`+front+`".* address=(\S+)`).FindAllStringSubmatch(l.String(), -1)
--- a/internal/playback/tls.go
+++ b/internal/playback/tls.go
@@ -19,25 +19,26 @@
 	"google.golang.org/grpc/credentials"
 )
 
-// authority signs the certificates of the program and of its operators, made for one play.
-type authority struct {
-	cert *x509.Certificate
-	key  *ecdsa.PrivateKey
-	next int64 // serial number
+// certAuthority signs the certificates of the program and its operators. Each playback has its own.
+type certAuthority struct {
+	cert       *x509.Certificate
+	key        *ecdsa.PrivateKey
+	lastSerial int64 // last serial number issued
 }
 
-func newAuthority(t *testing.T) *authority {
-	a := &authority{}
+func newCertAuthority(t *testing.T) *certAuthority {
+	a := &certAuthority{}
 	a.cert, a.key = a.issue(t, &x509.Certificate{IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign})
 	return a
 }
 
-// issue signs a certificate; the first is the authority's own.
-func (a *authority) issue(t *testing.T, c *x509.Certificate) (*x509.Certificate, *ecdsa.PrivateKey) {
+// issue signs a certificate with a new key. The first one is the authority's own, self-signed certificate.
+func (a *certAuthority) issue(t *testing.T, c *x509.Certificate) (*x509.Certificate, *ecdsa.PrivateKey) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
-	a.next++
-	c.SerialNumber, c.NotBefore, c.NotAfter = big.NewInt(a.next), time.Now().Add(-time.Hour), time.Now().Add(time.Hour)
+	a.lastSerial++
+	c.SerialNumber, c.NotBefore, c.NotAfter =
+		big.NewInt(a.lastSerial), time.Now().Add(-time.Hour), time.Now().Add(time.Hour)
 	parent, signer := a.cert, a.key
 	if parent == nil {
 		parent, signer = c, key
@@ -49,38 +50,40 @@
 	return cert, key
 }
 
-// pool holds the authority's own certificate.
-func (a *authority) pool() *x509.CertPool {
+// pool returns a certificate pool with the authority's certificate.
+func (a *certAuthority) pool() *x509.CertPool {
 	p := x509.NewCertPool()
 	p.AddCert(a.cert)
 	return p
 }
 
-// files writes what the program needs, and returns its entry in the store's file.
-func (a *authority) files(t *testing.T, dir string) string {
+// writeFiles writes the program's certificate and key and the client CA to dir, and returns the [tls] section of the
+// store's configuration file.
+func (a *certAuthority) writeFiles(t *testing.T, dir string) string {
 	cert, key := a.issue(t, &x509.Certificate{IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}})
 	der, err := x509.MarshalPKCS8PrivateKey(key)
 	require.NoError(t, err)
-	entry := "[tls]\n"
+	config := "[tls]\n"
 	for name, block := range map[string]pem.Block{"cert": {Type: "CERTIFICATE", Bytes: cert.Raw},
 		"key": {Type: "PRIVATE KEY", Bytes: der}, "client_ca": {Type: "CERTIFICATE", Bytes: a.cert.Raw}} {
 		path := filepath.Join(dir, name+".pem")
 		require.NoError(t, os.WriteFile(path, pem.EncodeToMemory(&block), 0o600))
-		entry += fmt.Sprintf("%s = %q\n", name, path)
+		config += fmt.Sprintf("%s = %q\n", name, path)
 	}
-	return entry
+	return config
 }
 
-// operator is what an operator shows: g a certificate of the authority, h one of another.
-func (a *authority) operator(t *testing.T, name string) credentials.TransportCredentials {
+// operatorCredentials returns the credentials of an operator: g has a certificate of this authority, any other one
+// that of a new authority.
+func (a *certAuthority) operatorCredentials(t *testing.T, name string) credentials.TransportCredentials {
 	signer := a
 	if name != "g" {
-		signer = newAuthority(t)
+		signer = newCertAuthority(t)
 	}
 	cert, key := signer.issue(t, &x509.Certificate{ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}})
-	own := tls.Certificate{Certificate: [][]byte{cert.Raw}, PrivateKey: key}
+	clientCert := tls.Certificate{Certificate: [][]byte{cert.Raw}, PrivateKey: key}
 	return credentials.NewTLS(&tls.Config{RootCAs: a.pool(), MinVersion: tls.VersionTLS13,
-		// whoever is asked, and by whom: a stranger shows what it has
-		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &own, nil }})
+		// sent even if the server's list of accepted authorities does not include its issuer
+		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &clientCert, nil }})
 }
