--- a/internal/standin/attempt.go
+++ b/internal/standin/attempt.go
@@ -10,49 +10,51 @@
 	"brookmux/internal/core"
 )
 
-// attempt is a set-up that a controller has sent. It holds circuits toward the exchange it was sent to until it
-// ends.
+// attempt is a set-up that a controller has sent, and the call that it becomes. It occupies circuits toward the
+// exchange it was sent to until it ends.
 type attempt struct {
-	key    string
-	call   *ticket
-	from   *Node
-	epoch  int // of the controller that sent it
-	to     *Node
-	left   time.Duration
-	open   bool // neither ended nor given up
-	stands bool
-	onward *Node // the tandem at which it is a call in transit
+	key     string
+	call    *callInfo
+	from    *Node
+	epoch   int // epoch of the controller that sent it
+	to      *Node
+	timeout time.Duration
+	open    bool // neither ended nor abandoned
+	stands  bool
+	tandem  *Node // exchange at which it is a call in transit; nil without one
 }
 
-// sorted are a controller's attempts in the order of their keys.
-func sorted(out map[string]*attempt) []*attempt {
-	return slices.SortedFunc(maps.Values(out), func(a, b *attempt) int { return cmp.Compare(a.key, b.key) })
+// sortedAttempts returns attempts in the order of their keys, so that runs are reproducible.
+func sortedAttempts(attempts map[string]*attempt) []*attempt {
+	return slices.SortedFunc(maps.Values(attempts), func(a, b *attempt) int { return cmp.Compare(a.key, b.key) })
 }
 
-// SetUp implements core.Trunks, as do the methods below.
+// SetUp implements core.Trunks. It seizes circuits and sends the set-up. Without free circuits the attempt ends as
+// moot.
 func (n *Node) SetUp(to brookmux.SwitchID, t core.Attempt) {
 	m := n.mesh
-	a := &attempt{key: t.Key, call: m.calls[t.Key], from: n, epoch: n.epoch, to: m.at(to), left: t.Left, open: true}
-	m.Ledger.sent(n, a, to)
-	n.out[t.Key] = a
-	if !m.take(n, a.to, a.call.width) {
+	a := &attempt{key: t.Key, call: m.callInfo[t.Key], from: n, epoch: n.epoch, to: m.nodeOf(to),
+		timeout: t.Left, open: true}
+	m.Ledger.attemptSent(n, a, to)
+	n.attempts[t.Key] = a
+	if !m.seizeCircuits(n, a.to, a.call.width) {
 		a.open = false
-		a.say(core.Outcome{Result: brookmux.ResultMoot, Reason: brookmux.ReasonNoCircuit}, 0)
+		a.reportOutcome(core.Outcome{Result: brookmux.ResultMoot, Reason: brookmux.ReasonNoCircuit}, 0)
 		return
 	}
-	live := func() bool { return a.open }
-	full := func() {
+	wanted := func() bool { return a.open }
+	rejected := func() {
 		a.end(core.Outcome{Result: brookmux.ResultFull, Reason: brookmux.ReasonProcessorFull, Cause: core.Congestion}, 0)
 	}
-	if to != a.to.id() { // replaced meanwhile: nothing listens under that name
+	if to != a.to.switchID() { // the processor has been replaced, and nothing listens at the old address
 		a.end(core.Outcome{Result: brookmux.ResultConnectFailed, Cause: core.TemporaryFailure}, 0)
 		return
 	}
-	n.Proc.SetUp(live, func() { a.travel(func() { a.arrive(live) }) }, full)
+	n.Proc.SetUp(wanted, func() { a.afterDelay(func() { a.arrive(wanted) }) }, rejected)
 }
 
-// travel lets something happen at the far end, unless the attempt is over by then.
-func (a *attempt) travel(f func()) {
+// afterDelay runs f after the one-way delay, unless the attempt has ended by then.
+func (a *attempt) afterDelay(f func()) {
 	m := a.from.mesh
 	m.After(m.Delay(a.from.number, a.to.number), func() {
 		if a.open {
@@ -61,46 +63,48 @@
 	})
 }
 
-// arrive takes the set-up at the exchange it was sent to.
-func (a *attempt) arrive(live func() bool) {
+// arrive processes the set-up at the exchange it was sent to: the destination answers, a tandem offers it to its
+// controller.
+func (a *attempt) arrive(wanted func() bool) {
 	m, there := a.from.mesh, a.to
-	full := func() {
+	rejected := func() {
 		a.end(core.Outcome{Result: brookmux.ResultFull, Reason: brookmux.ReasonProcessorFull, Cause: core.Congestion},
 			m.Delay(a.from.number, there.number))
 	}
-	there.Proc.SetUp(live, func() {
-		if there.number == a.call.dest {
+	there.Proc.SetUp(wanted, func() {
+		if there.number == a.call.destination {
 			if m.Spoilt > 0 && m.rng.Float64() < m.Spoilt {
-				a.end(core.Outcome{Result: brookmux.ResultReset, Cause: core.TemporaryFailure}, resetAfter)
+				a.end(core.Outcome{Result: brookmux.ResultReset, Cause: core.TemporaryFailure}, resetDelay)
 				return
 			}
-			there.Proc.Do(there.Proc.Answer, live, a.answer)
+			there.Proc.Do(there.Proc.Answer, wanted, a.sendAnswer)
 			return
 		}
 		if there.engine == nil {
-			a.end(core.Outcome{Result: brookmux.ResultReset, Cause: core.TemporaryFailure}, resetAfter)
+			a.end(core.Outcome{Result: brookmux.ResultReset, Cause: core.TemporaryFailure}, resetDelay)
 			return
 		}
-		a.onward = there
-		there.event(func(e *core.Engine) {
-			e.Offer(core.Request{Key: a.key, Class: m.Settings.ClassNames[a.call.class], Number: "1", Left: a.left,
-				Destination: a.call.dest, Width: a.call.width, Via: a.from.number, Transit: true, Caller: a})
+		a.tandem = there
+		there.withEngine(func(e *core.Engine) {
+			e.Offer(core.Request{Key: a.key, Class: m.Settings.ClassNames[a.call.class], Number: "1", Left: a.timeout,
+				Destination: a.call.destination, Width: a.call.width, Via: a.from.number, Transit: true, Caller: a})
 		})
-	}, full)
+	}, rejected)
 }
 
-// answer brings the answer back to the controller that sent the set-up.
-func (a *attempt) answer() {
+// sendAnswer sends the answer to the controller that sent the set-up. A call that does not
+// transit a tandem then stands for its hold time.
+func (a *attempt) sendAnswer() {
 	m := a.from.mesh
-	a.travel(func() {
+	a.afterDelay(func() {
 		a.from.Proc.Do(a.from.Proc.Answer, func() bool { return a.open }, func() {
 			a.stands = true
 			if a.from.epoch == a.epoch {
-				a.from.event(func(e *core.Engine) {
-					e.Answered(a.to.id(), a.key, []byte(a.key), a.from.report(a.to, true))
+				a.from.withEngine(func(e *core.Engine) {
+					e.Answered(a.to.switchID(), a.key, []byte(a.key), a.from.report(a.to, true))
 				})
 			}
-			if a.onward == nil {
+			if a.tandem == nil {
 				m.After(a.call.hold, func() {
 					a.end(core.Outcome{Result: brookmux.ResultOK, Cause: core.NormalClearing}, m.Delay(a.from.number, a.to.number))
 				})
@@ -109,77 +113,77 @@
 	})
 }
 
-// end ends the attempt, with word of it to its controller after a while.
-func (a *attempt) end(o core.Outcome, late time.Duration) {
+// end ends the attempt with an outcome, releases its circuits after delay and reports the outcome to its controller.
+func (a *attempt) end(o core.Outcome, delay time.Duration) {
 	if !a.open {
 		return
 	}
 	a.open = false
 	m := a.from.mesh
-	m.After(late, func() {
-		m.free(a.from, a.to, a.call.width)
+	m.After(delay, func() {
+		m.releaseCircuits(a.from, a.to, a.call.width)
 		if a.stands {
 			a.to.Proc.Do(a.to.Proc.Release, nil, nil)
-			a.from.Proc.Do(a.from.Proc.Release, nil, func() { a.say(o, 0) })
+			a.from.Proc.Do(a.from.Proc.Release, nil, func() { a.reportOutcome(o, 0) })
 		} else {
-			a.say(o, 0)
+			a.reportOutcome(o, 0)
 		}
 	})
 }
 
-// say tells the controller that sent it, if that is still there.
-func (a *attempt) say(o core.Outcome, late time.Duration) {
-	a.from.mesh.After(late, func() {
+// reportOutcome reports the outcome to the controller after delay, if that has not been restarted or killed.
+func (a *attempt) reportOutcome(o core.Outcome, delay time.Duration) {
+	a.from.mesh.After(delay, func() {
 		if a.from.epoch == a.epoch {
-			a.from.mesh.Ledger.ended(a.from, a, o)
+			a.from.mesh.Ledger.attemptEnded(a.from, a, o)
 			o.Report = a.from.report(a.to, true)
-			if a.from.out[a.key] == a {
-				delete(a.from.out, a.key)
+			if a.from.attempts[a.key] == a {
+				delete(a.from.attempts, a.key)
 			}
-			a.from.event(func(e *core.Engine) { e.Ended(a.to.id(), a.key, o) })
+			a.from.withEngine(func(e *core.Engine) { e.Ended(a.to.switchID(), a.key, o) })
 		}
 	})
 }
 
-// giveUp takes the controller's word, or its death, that nobody waits for the set-up or the call any more.
-func (a *attempt) giveUp() {
+// abandon ends the attempt when its controller has released it or was killed. A tandem receives a hang-up.
+func (a *attempt) abandon() {
 	if !a.open {
 		return
 	}
 	a.open = false
 	m := a.from.mesh
 	m.After(m.Delay(a.from.number, a.to.number), func() {
-		m.free(a.from, a.to, a.call.width)
-		if a.onward != nil {
-			a.onward.event(func(e *core.Engine) {
+		m.releaseCircuits(a.from, a.to, a.call.width)
+		if a.tandem != nil {
+			a.tandem.withEngine(func(e *core.Engine) {
 				e.Hangup(a, a.key, core.NormalClearing, func(bool) {})
 			})
 		}
 	})
 }
 
-// Release implements core.Trunks.
+// Release implements core.Trunks. It cancels the attempt or releases the call.
 func (n *Node) Release(_ brookmux.SwitchID, key string, _ core.Cause) {
-	if a := n.out[key]; a != nil {
-		n.mesh.Ledger.ended(n, a, core.Outcome{Result: brookmux.ResultCancelled})
-		delete(n.out, key)
-		a.giveUp()
+	if a := n.attempts[key]; a != nil {
+		n.mesh.Ledger.attemptEnded(n, a, core.Outcome{Result: brookmux.ResultCancelled})
+		delete(n.attempts, key)
+		a.abandon()
 	}
 }
 
-// ReleaseAnywhere implements core.Trunks.
+// ReleaseAnywhere implements core.Trunks. It does nothing.
 func (n *Node) ReleaseAnywhere(string, core.Cause) {}
 
-// Stands implements core.Caller for a call in transit, as do the methods below.
-func (a *attempt) Stands(string, []byte) { a.answer() }
+// Stands implements core.Caller for a call in transit: it sends the answer back.
+func (a *attempt) Stands(string, []byte) { a.sendAnswer() }
 
-// Refuse turns it back.
+// Refuse implements core.Caller for a call in transit: the tandem rejects it.
 func (a *attempt) Refuse(string, core.Verdict) {
 	m := a.from.mesh
 	a.end(core.Outcome{Result: brookmux.ResultFull, Reason: brookmux.ReasonTurnedBack, Cause: 34}, m.Delay(a.from.number, a.to.number))
 }
 
-// Release tells that it is over.
+// Release implements core.Caller for a call in transit: the call has ended.
 func (a *attempt) Release(string, core.Cause) {
 	m := a.from.mesh
 	a.end(core.Outcome{Result: brookmux.ResultOK, Cause: core.NormalClearing}, m.Delay(a.from.number, a.to.number))
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -12,205 +12,211 @@
 	"brookmux/internal/core"
 )
 
-// Habit is how callers behave.
+// Habit describes the behavior of callers.
 type Habit struct {
-	Redials   int              // further tries of a call at most
-	Ignore    float64          // share of the callers that ignore the advice on when to come back
-	PerHost   int              // callers behind one address
-	OneNumber float64          // share of the calls that go to one number
-	Elsewhere float64          // share of the further tries that go to another controller
-	Group     string           // caller group, as of an M3UA peer; empty for one by address
-	Jitter    float64          // up to this part more than the time told
-	RedialIn  [2]time.Duration // own wait before a further try, from and to
-	Patience  [2]float64       // share of the class's deadline after which a try is given up, from and to
-	Upgrade   float64          // share of calls of class 1
+	MaxRedials   int              // maximum further tries of a call
+	IgnoreAdvice float64          // share of the callers that ignore retry advice
+	PerHost      int              // number of addresses that the callers share; 0 for a random address per call
+	OneNumber    float64          // share of the calls to one common number
+	Elsewhere    float64          // share of the further tries at another controller
+	Group        string           // caller group of an M3UA peer; empty for SIP callers, grouped by address
+	Jitter       float64          // maximum random addition to the retry advice, as a share of it
+	RedialWait   [2]time.Duration // range of the wait before a further try without advice
+	TimeoutShare [2]float64       // range of the caller's timeout for a try, as a share of the class's deadline
+	Upgrade      float64          // share of the calls that are of class 1
 }
 
-// Callers are the subscribers of an exchange.
+// Callers generates the calls of an exchange's subscribers, as a Poisson process.
 type Callers struct {
 	Habit
-	mesh   *Mesh
-	at     *Node
-	to     []float64 // share of the calls by destination
-	rng    *rand.Rand
-	rate   float64
-	Record *Record
+	mesh         *Mesh
+	node         *Node
+	destinations []float64 // share of the calls by destination exchange
+	rng          *rand.Rand
+	rate         float64
+	Record       *Record // receives the calls
 }
 
-// Call is a subscriber's wish, with all its tries.
+// Call is a subscriber's call with all its tries.
 type Call struct {
-	At             time.Duration // of its first try
-	Class          int
-	Exchange, Dest int
-	Peer           bool // it came from an M3UA peer
-	Ignores        bool
-	Stood          time.Duration // when it stood, 0 if it never did
-	Tries          int
-	callers        *Callers
-	number         string
-	host           string
+	FirstTryAt            time.Duration // time of its first try
+	Class                 int
+	Exchange, Destination int
+	Peer                  bool          // the caller is an M3UA peer
+	Ignores               bool          // the caller ignores retry advice
+	StoodAt               time.Duration // time of the answer; 0 if none
+	Tries                 int
+	callers               *Callers
+	number                string
+	host                  string
 }
 
-// try is one set-up of a call.
+// try is one set-up of a call at a controller.
 type try struct {
-	call  *Call
-	key   string
-	at    time.Duration
-	left  time.Duration
-	node  *Node
-	final int
-	over  bool
+	call         *Call
+	key          string
+	at           time.Duration
+	timeout      time.Duration
+	node         *Node
+	finalAnswers int
+	closed       bool
 }
 
-// Call lets callers of an exchange call at a rate, in calls a second, from now on.
-func (m *Mesh) Call(exchange int, rate float64, to []float64, h Habit, r *Record) *Callers {
-	c := &Callers{Habit: h, mesh: m, at: m.nodes[exchange], to: to, rate: rate, Record: r,
+// Call starts callers at an exchange with a rate in calls per second. They call until the mesh ends. destinations is
+// the share of the calls by exchange, and r records the calls.
+func (m *Mesh) Call(exchange int, rate float64, destinations []float64, habit Habit, record *Record) *Callers {
+	c := &Callers{Habit: habit, mesh: m, node: m.nodes[exchange], destinations: destinations, rate: rate, Record: record,
 		rng: rand.New(rand.NewPCG(m.Seed, uint64(exchange)+1000))}
-	c.next()
-	m.loads = append(m.loads, c)
+	c.scheduleNext()
+	m.callers = append(m.callers, c)
 	return c
 }
 
-// Loads are the callers, in the order in which they were let in.
-func (m *Mesh) Loads() []*Callers { return m.loads }
+// Loads returns the callers in the order in which they were started.
+func (m *Mesh) Loads() []*Callers { return m.callers }
 
-// SetRate changes how many calls a second come.
+// SetRate changes the rate in calls per second, from the next interval on.
 func (c *Callers) SetRate(rate float64) { c.rate = rate }
 
-func (c *Callers) next() {
+// scheduleNext schedules the next call after an exponentially distributed interval.
+func (c *Callers) scheduleNext() {
 	c.mesh.After(time.Duration(c.rng.ExpFloat64()/max(1e-9, c.rate)*float64(time.Second)), func() {
-		c.begin()
-		c.next()
+		c.newCall()
+		c.scheduleNext()
 	})
 }
 
-// begin makes a new call.
-func (c *Callers) begin() {
-	k := &Call{At: c.mesh.Now(), Exchange: c.at.number, callers: c, Peer: c.Group != "", Ignores: c.rng.Float64() < c.Ignore,
+// newCall starts a new call with random properties.
+func (c *Callers) newCall() {
+	k := &Call{FirstTryAt: c.mesh.Now(), Exchange: c.node.number, callers: c,
+		Peer: c.Group != "", Ignores: c.rng.Float64() < c.IgnoreAdvice,
 		number: strconv.FormatUint(c.rng.Uint64()|1, 16)}
 	if c.rng.Float64() < c.Upgrade {
 		k.Class = 1
 	}
-	at := c.rng.Float64()
-	for i, share := range c.to {
-		if at -= share; share > 0 {
-			k.Dest = i
-			if at <= 0 {
+	draw := c.rng.Float64()
+	for i, share := range c.destinations {
+		if draw -= share; share > 0 {
+			k.Destination = i
+			if draw <= 0 {
 				break
 			}
 		}
 	}
-	k.host = fmt.Sprintf("10.%d.%d.%d", c.at.number, c.rng.IntN(200), c.rng.IntN(200))
+	k.host = fmt.Sprintf("10.%d.%d.%d", c.node.number, c.rng.IntN(200), c.rng.IntN(200))
 	if c.Group != "" {
 		k.host = c.Group
 	} else if c.PerHost > 0 {
-		k.host = fmt.Sprintf("10.%d.0.%d", c.at.number, c.rng.IntN(c.PerHost))
+		k.host = fmt.Sprintf("10.%d.0.%d", c.node.number, c.rng.IntN(c.PerHost))
 	}
 	if c.rng.Float64() < c.OneNumber {
 		k.number = "5ea7"
 	}
-	c.Record.offered(k)
-	k.dial()
+	c.Record.addCall(k)
+	k.startTry()
 }
 
-// within draws a time between two.
-func (c *Callers) within(span [2]time.Duration) time.Duration {
-	return span[0] + time.Duration(c.rng.Float64()*float64(span[1]-span[0]))
+// randomBetween returns a uniformly distributed duration within the bounds.
+func (c *Callers) randomBetween(bounds [2]time.Duration) time.Duration {
+	return bounds[0] + time.Duration(c.rng.Float64()*float64(bounds[1]-bounds[0]))
 }
 
-// dial makes a try.
-func (k *Call) dial() {
+// startTry starts the next try of the call.
+func (k *Call) startTry() {
 	c := k.callers
 	m := c.mesh
 	k.Tries++
 	deadline := m.Settings.Module.Classes[k.Class].Deadline
-	at := c.at
+	at := c.node
 	if k.Tries > 1 && c.rng.Float64() < c.Elsewhere {
-		if o := m.nodes[c.rng.IntN(m.Controllers)]; o.number != k.Dest {
+		if o := m.nodes[c.rng.IntN(m.Controllers)]; o.number != k.Destination {
 			at = o
 		}
 	}
-	if at.engine == nil { // nobody listens
+	if at.engine == nil { // the controller is down, and nothing listens
 		c.Record.Unreached++
-		k.again(0)
+		k.scheduleRedial(0)
 		return
 	}
 	m.lastID++
 	t := &try{call: k, key: fmt.Sprintf("%016x", m.lastID<<16|uint64(at.number)), at: m.Now(), node: at,
-		left: time.Duration((c.Patience[0] + c.rng.Float64()*(c.Patience[1]-c.Patience[0])) * float64(deadline))}
-	t.left = min(t.left, k.At+deadline-m.Now())
-	m.calls[t.key] = &ticket{class: k.Class, dest: k.Dest, width: 1,
+		timeout: time.Duration((c.TimeoutShare[0] + c.rng.Float64()*(c.TimeoutShare[1]-c.TimeoutShare[0])) *
+			float64(deadline))}
+	t.timeout = min(t.timeout, k.FirstTryAt+deadline-m.Now())
+	m.callInfo[t.key] = &callInfo{class: k.Class, destination: k.Destination, width: 1,
 		hold: time.Duration(c.rng.ExpFloat64() * float64(m.Hold[k.Class]))}
-	at.open[t] = struct{}{}
-	at.Proc.Do(at.Proc.Look, nil, nil)
-	at.event(func(e *core.Engine) {
-		e.Linked(k.host) // a connection for each try
-		e.Offer(core.Request{Key: t.key, Class: m.Settings.ClassNames[k.Class], Number: k.number, Left: t.left,
-			Destination: k.Dest, Width: 1, Via: -1, Caller: t, Group: k.host, Resent: k.Tries > 1})
+	at.openTries[t] = struct{}{}
+	at.Proc.Do(at.Proc.Receive, nil, nil)
+	at.withEngine(func(e *core.Engine) {
+		e.Linked(k.host) // each try has its own connection
+		e.Offer(core.Request{Key: t.key, Class: m.Settings.ClassNames[k.Class], Number: k.number, Left: t.timeout,
+			Destination: k.Destination, Width: 1, Via: -1, Caller: t, Group: k.host, Resent: k.Tries > 1})
 	})
-	m.After(t.left, func() {
-		if !t.over {
+	m.After(t.timeout, func() {
+		if !t.closed {
 			t.close()
-			t.node.event(func(e *core.Engine) { e.Withdraw(t, t.key, func(bool, bool) {}) })
-			k.again(0)
+			t.node.withEngine(func(e *core.Engine) { e.Withdraw(t, t.key, func(bool, bool) {}) })
+			k.scheduleRedial(0)
 		}
 	})
-	m.After(2*time.Minute, func() { delete(m.calls, t.key) })
+	m.After(2*time.Minute, func() { delete(m.callInfo, t.key) })
 }
 
-// again dials later, if the caller does: after the time told, else after one of its own.
-func (k *Call) again(told time.Duration) {
+// scheduleRedial schedules the next try, unless the caller's tries or time are used up. The caller waits as advised, or
+// for a random time if there is no advice or it ignores advice.
+func (k *Call) scheduleRedial(advice time.Duration) {
 	c := k.callers
-	wait := told + time.Duration(c.rng.Float64()*c.Jitter*float64(told))
+	wait := advice + time.Duration(c.rng.Float64()*c.Jitter*float64(advice))
 	if wait <= 0 || k.Ignores {
-		wait = c.within(c.RedialIn)
+		wait = c.randomBetween(c.RedialWait)
 	}
-	left := k.At + c.mesh.Settings.Module.Classes[k.Class].Deadline - c.mesh.Now()
-	if k.Tries <= c.Redials && wait < left {
-		c.mesh.After(wait, k.dial)
+	remaining := k.FirstTryAt + c.mesh.Settings.Module.Classes[k.Class].Deadline - c.mesh.Now()
+	if k.Tries <= c.MaxRedials && wait < remaining {
+		c.mesh.After(wait, k.startTry)
 	}
 }
 
-// close takes a try off.
+// close marks the try as closed and removes it from its controller.
 func (t *try) close() {
-	t.over = true
-	delete(t.node.open, t)
+	t.closed = true
+	delete(t.node.openTries, t)
 }
 
-// reset is the death of the controller that had the try.
-func (t *try) reset() {
-	if !t.over {
+// connectionReset closes the try when the connection to its killed controller is reset.
+func (t *try) connectionReset() {
+	if !t.closed {
 		t.close()
-		t.call.again(0)
+		t.call.scheduleRedial(0)
 	}
 }
 
-// Stands implements core.Caller, as do the methods below.
+// Stands implements core.Caller: the call is answered.
 func (t *try) Stands(string, []byte) {
-	t.node.mesh.Ledger.answered(t)
-	if t.over {
+	t.node.mesh.Ledger.callerAnswered(t)
+	if t.closed {
 		return
 	}
 	t.close()
-	if t.call.Stood == 0 {
-		t.call.Stood = t.node.mesh.Now()
+	if t.call.StoodAt == 0 {
+		t.call.StoodAt = t.node.mesh.Now()
 	}
 }
 
-// Refuse is the answer that it does not stand.
+// Refuse implements core.Caller: the try is rejected, perhaps with retry advice.
 func (t *try) Refuse(_ string, v core.Verdict) {
-	t.node.mesh.Ledger.answered(t)
-	if t.over {
+	t.node.mesh.Ledger.callerAnswered(t)
+	if t.closed {
 		return
 	}
 	t.close()
-	t.call.callers.Record.told(t.node, v.Wait)
-	t.call.again(v.Wait)
+	t.call.callers.Record.addWait(t.node, v.Wait)
+	t.call.scheduleRedial(v.Wait)
 }
 
-// Release tells that a call that stood is over.
+// Release implements core.Caller. It does nothing.
 func (t *try) Release(string, core.Cause) {}
 
-func sortedTries(open map[*try]struct{}) []*try {
-	return slices.SortedFunc(maps.Keys(open), func(a, b *try) int { return cmp.Compare(a.key, b.key) })
+// sortedTries returns tries in the order of their keys, so that runs are reproducible.
+func sortedTries(tries map[*try]struct{}) []*try {
+	return slices.SortedFunc(maps.Keys(tries), func(a, b *try) int { return cmp.Compare(a.key, b.key) })
 }
--- a/internal/standin/loopback/callers.go
+++ b/internal/standin/loopback/callers.go
@@ -13,48 +13,49 @@
 	"time"
 )
 
-// Load is what callers do.
+// Load describes the calls and the behavior of callers.
 type Load struct {
-	Rate    float64 // calls a second
-	Redials int
-	Ignore  float64 // share of the callers that ignore advice
-	Aim     time.Duration
-	Give    time.Duration // they give a call up after this
+	Rate    float64       // calls per second
+	Redials int           // maximum further tries of a call
+	Ignore  float64       // share of the callers that ignore retry advice
+	Aim     time.Duration // calls answered within this are served in time; for the evaluation only
+	Give    time.Duration // time after which callers abandon a call
 	Seed    uint64
-	To      []int // exchanges called, one after another; none for exchange 1
+	To      []int // destination exchanges, in rotation; empty for exchange 1
 }
 
-// Call is what became of a caller's wish.
+// Call is the result of a call with all its tries.
 type Call struct {
-	At    time.Duration // of its first try, from the start
-	Stood time.Duration // how long after that it stood, 0 if never
+	At    time.Duration // first try, since the start of the load
+	Stood time.Duration // from the first try to the answer; 0 if never answered
 	Tries int
-	Told  []time.Duration
-	Lost  int // tries that brought no final answer
+	Told  []time.Duration // waits from the retry advice
+	Lost  int             // tries without a final answer
 }
 
-// Callers call an address, each try on a connection of its own.
+// Callers runs the calls of a Load to an address, each try on its own connection.
 type Callers struct {
 	Load
-	to    string
-	began time.Time
-	mu    sync.Mutex
-	calls []*Call
-	keys  uint64
-	turn  int // in To
+	address      string
+	startedAt    time.Time
+	mu           sync.Mutex
+	calls        []*Call
+	lastKey      uint64
+	nextExchange int // counts the tries; index into To
 }
 
-// Call lets callers call until the context ends, and returns what became of them once the last has given up.
-func (l Load) Call(ctx context.Context, to string) []*Call {
-	c := &Callers{Load: l, to: to, began: time.Now(), keys: l.Seed << 32}
+// Call starts calls until the context ends, and returns their results after the last one has been answered or
+// abandoned.
+func (l Load) Call(ctx context.Context, address string) []*Call {
+	c := &Callers{Load: l, address: address, startedAt: time.Now(), lastKey: l.Seed << 32}
 	rng := rand.New(rand.NewPCG(l.Seed, 11))
 	var all sync.WaitGroup
-	for at := c.began; ctx.Err() == nil; {
+	for at := c.startedAt; ctx.Err() == nil; {
 		at = at.Add(time.Duration(rng.ExpFloat64() / l.Rate * float64(time.Second)))
 		select {
 		case <-time.After(time.Until(at)):
-			own := rand.New(rand.NewPCG(rng.Uint64(), 12))
-			all.Go(func() { c.caller(own) })
+			callerRNG := rand.New(rand.NewPCG(rng.Uint64(), 12))
+			all.Go(func() { c.runCall(callerRNG) })
 		case <-ctx.Done():
 		}
 	}
@@ -62,14 +63,14 @@
 	return c.calls
 }
 
-// caller makes a call with its further tries.
-func (c *Callers) caller(rng *rand.Rand) {
-	first, ignores, number := time.Now(), rng.Float64() < c.Ignore, rng.Uint64()|1
-	k := &Call{At: first.Sub(c.began)}
+// runCall makes a call with its further tries and records the result.
+func (c *Callers) runCall(rng *rand.Rand) {
+	first, ignoresAdvice, number := time.Now(), rng.Float64() < c.Ignore, rng.Uint64()|1
+	k := &Call{At: first.Sub(c.startedAt)}
 	for k.Tries <= c.Redials {
 		k.Tries++
-		patience := time.Duration((0.3 + 0.1*rng.Float64()) * float64(c.Give))
-		stood, answered, told := c.try(number, k.Tries > 1, min(patience, c.Give-time.Since(first)))
+		timeout := time.Duration((0.3 + 0.1*rng.Float64()) * float64(c.Give))
+		stood, answered, retryAfter := c.try(number, k.Tries > 1, min(timeout, c.Give-time.Since(first)))
 		if stood {
 			k.Stood = max(1, time.Since(first))
 			break
@@ -77,11 +78,11 @@
 		if !answered {
 			k.Lost++
 		}
-		if told > 0 {
-			k.Told = append(k.Told, told)
+		if retryAfter > 0 {
+			k.Told = append(k.Told, retryAfter)
 		}
-		wait := told
-		if wait == 0 || ignores {
+		wait := retryAfter
+		if wait == 0 || ignoresAdvice {
 			wait = 300*time.Millisecond + time.Duration(rng.Float64()*float64(900*time.Millisecond))
 		}
 		if time.Since(first)+wait >= c.Give {
@@ -94,46 +95,48 @@
 	c.calls = append(c.calls, k)
 }
 
-// try makes one set-up, and tells whether it stood, whether there was a final answer, and how long to stay away if that
-// was said.
-func (c *Callers) try(number uint64, resent bool, left time.Duration) (stood, answered bool, told time.Duration) {
-	until := time.Now().Add(left)
-	conn, err := net.DialTimeout("tcp", c.to, left)
+// try makes one set-up. It reports whether the call stands, whether there was a final answer, and the wait from the
+// retry advice, 0 without advice.
+func (c *Callers) try(number uint64, resent bool, timeout time.Duration) (stood, answered bool,
+	retryAfter time.Duration) {
+	deadline := time.Now().Add(timeout)
+	conn, err := net.DialTimeout("tcp", c.address, timeout)
 	if err != nil {
 		return false, false, 0
 	}
 	c.mu.Lock()
-	c.keys++
-	key, exchange := fmt.Sprintf("%016x", c.keys), 1
+	c.lastKey++
+	key, exchange := fmt.Sprintf("%016x", c.lastKey), 1
 	if len(c.To) > 0 {
-		exchange = c.To[c.turn%len(c.To)]
-		c.turn++
+		exchange = c.To[c.nextExchange%len(c.To)]
+		c.nextExchange++
 	}
 	c.mu.Unlock()
-	mark := ""
+	resentHeader := ""
 	if resent {
-		mark = "X-Resent: 1\r\n"
+		resentHeader = "X-Resent: 1\r\n"
 	}
 	fmt.Fprintf(conn, "INVITE sip:%016x@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: %s\r\nCSeq: 1 INVITE\r\nX-Tier: page\r\n"+
-		"X-Deadline: %d\r\n%sX-Attrs: dest:%d;width:1;via:-1\r\nContent-Length: 0\r\n\r\n", number, key, left.Milliseconds(), mark, exchange)
+		"X-Deadline: %d\r\n%sX-Attrs: dest:%d;width:1;via:-1\r\nContent-Length: 0\r\n\r\n", number, key,
+		timeout.Milliseconds(), resentHeader, exchange)
 	r := textproto.NewReader(bufio.NewReader(conn))
-	for conn.SetReadDeadline(until) == nil {
+	for conn.SetReadDeadline(deadline) == nil {
 		m, err := read(r)
 		if err != nil {
 			break
 		}
-		if m.status == 0 { // the release of a call whose own connection has gone: it may come on any
-			m.heard(conn)
+		if m.status == 0 { // release of a call whose own connection has ended; it may arrive on any connection
+			m.confirmRelease(conn)
 			continue
 		}
 		if m.status >= 200 && m.status < 300 {
 			fmt.Fprintf(conn, "ACK sip:peer@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: %s\r\nCSeq: 1 ACK\r\nContent-Length: 0\r\n\r\n", key)
-			go talk(conn, r, key)
+			go awaitRelease(conn, r, key)
 			return true, true, 0
 		}
 		if m.status >= 300 {
 			conn.Close()
-			ms, _ := strconv.Atoi(m.header.Get("X-Cooldown")) // not said: 0
+			ms, _ := strconv.Atoi(m.header.Get("X-Cooldown")) // 0 if missing
 			return false, true, time.Duration(ms) * time.Millisecond
 		}
 	}
@@ -142,35 +145,35 @@
 	return false, false, 0
 }
 
-// talk keeps the connection of a call that stands until the call is released.
-func talk(conn net.Conn, r *textproto.Reader, key string) {
+// awaitRelease keeps the connection of a standing call open until the call is released, and confirms releases.
+func awaitRelease(conn net.Conn, r *textproto.Reader, key string) {
 	defer conn.Close()
-	for conn.SetReadDeadline(time.Now().Add(10*holds)) == nil {
+	for conn.SetReadDeadline(time.Now().Add(10*holdTime)) == nil {
 		m, err := read(r)
 		if err != nil {
 			return
 		}
-		if m.heard(conn); m.status == 0 && m.header.Get("Call-Id") == key {
+		if m.confirmRelease(conn); m.status == 0 && m.header.Get("Call-Id") == key {
 			return
 		}
 	}
 }
 
-// message is an answer, or a request if it has no status.
+// message is a SIP response, or a request if its status is 0.
 type message struct {
 	status int
 	header textproto.MIMEHeader
 }
 
-// heard answers a release.
-func (m message) heard(conn net.Conn) {
+// confirmRelease answers a request, which is a BYE, with 200 OK. It ignores responses.
+func (m message) confirmRelease(conn net.Conn) {
 	if m.status == 0 {
 		fmt.Fprintf(conn, "SIP/2.0 200 OK\r\nVia: %s\r\nCall-ID: %s\r\nCSeq: %s\r\nContent-Length: 0\r\n\r\n", m.header.Get("Via"),
 			m.header.Get("Call-Id"), m.header.Get("Cseq"))
 	}
 }
 
-// read reads one message with its body.
+// read reads one message and discards its body.
 func read(r *textproto.Reader) (message, error) {
 	line, err := r.ReadLine()
 	if err != nil {
@@ -180,7 +183,7 @@
 	if m.header, err = r.ReadMIMEHeader(); err != nil {
 		return m, err
 	}
-	n, _ := strconv.Atoi(m.header.Get("Content-Length")) // none: no body
+	n, _ := strconv.Atoi(m.header.Get("Content-Length")) // 0 if missing: no body
 	if _, err := r.R.Discard(n); err != nil {
 		return m, err
 	}
--- a/internal/standin/loopback/core.go
+++ b/internal/standin/loopback/core.go
@@ -1,5 +1,5 @@
-// Package loopback plays a core and its callers on real sockets against the program as it is deployed, on loopback
-// addresses only. It owns the stand-ins and their figures; it knows the program by its protocol alone.
+// Package loopback simulates a core and its callers on real sockets against the deployed program, on loopback addresses
+// only. It owns the simulated ends and their measurements, and depends on the program only through its protocols.
 package loopback
 
 import (
@@ -15,30 +15,31 @@
 )
 
 const (
-	mostLine = 16 << 10
-	holds    = 300 * time.Millisecond // from answer to release
-	circuits = 2000
+	maxLine      = 16 << 10               // bytes
+	holdTime     = 300 * time.Millisecond // from answer to release
+	freeCircuits = 2000                   // reported in state and answer messages
 )
 
-// Core is a core with one line: set-ups wait in turn, those that would wait too long are turned away, and those
-// that were given up are dropped.
+// Core is a core that processes one set-up at a time, in order of arrival. It rejects set-ups that would wait too long
+// and drops those that the program has abandoned. It is safe for concurrent use.
 type Core struct {
-	listener net.Listener
-	setUp    time.Duration
-	turnAway time.Duration
-
-	mu     sync.Mutex
-	queue  []job
-	given  map[string]bool // set-ups in the queue that were given up
-	busy   time.Time       // until then the line works
-	worst  time.Duration
-	turned int
-	asked  int
+	listener  net.Listener
+	setUpTime time.Duration // processing time of a set-up
+	maxWait   time.Duration // set-ups that would wait longer are rejected
+
+	mu          sync.Mutex
+	queue       []job
+	abandoned   map[string]bool // set-ups in the queue that the program has abandoned
+	busyUntil   time.Time       // end of the current set-up's processing
+	longestWait time.Duration
+	rejected    int
+	received    int
 }
 
+// job is a set-up in the queue.
 type job struct {
-	on *client
-	id string
+	client *client
+	id     string
 }
 
 // client is a connection to the core.
@@ -47,44 +48,47 @@
 	conn net.Conn
 }
 
-// say writes a line; one that can't be written is the end of the connection, which its reader sees.
-func (c *client) say(format string, args ...any) {
+// send writes a line. It ignores errors: the reader of the connection detects its end.
+func (c *client) send(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	fmt.Fprintf(c.conn, format+"\n", args...)
 }
 
-// NewCore starts a core that does so many set-ups a second.
-func NewCore(perSecond float64, turnAway time.Duration) (*Core, error) {
+// NewCore starts a core that processes perSecond set-ups per second and rejects those that would wait longer than
+// maxWait. The caller closes it.
+func NewCore(perSecond float64, maxWait time.Duration) (*Core, error) {
 	l, err := net.Listen("tcp", net.JoinHostPort(testhost.Host(), "0"))
 	if err != nil {
 		return nil, fmt.Errorf("loopback: core: %w", err)
 	}
-	c := &Core{listener: l, setUp: time.Duration(float64(time.Second) / perSecond), turnAway: turnAway, given: map[string]bool{}}
+	c := &Core{listener: l, setUpTime: time.Duration(float64(time.Second) / perSecond), maxWait: maxWait,
+		abandoned: map[string]bool{}}
 	go c.accept()
 	return c, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address at which the core listens.
 func (c *Core) Addr() string { return c.listener.Addr().String() }
 
-// Close ends the listening; connections end with their far ends.
+// Close closes the listener. Connections stay open until their far ends close them.
 func (c *Core) Close() error { return c.listener.Close() }
 
-// Seen returns the longest wait that a set-up met, and how many were turned away.
+// Seen returns the longest expected wait of an arriving set-up and the number of rejected set-ups.
 func (c *Core) Seen() (time.Duration, int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.worst, c.turned
+	return c.longestWait, c.rejected
 }
 
-// Asked returns how many set-ups came.
+// Asked returns the number of set-ups received.
 func (c *Core) Asked() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.asked
+	return c.received
 }
 
+// accept serves connections until the listener is closed. Each starts with a state message.
 func (c *Core) accept() {
 	for {
 		conn, err := c.listener.Accept()
@@ -92,16 +96,16 @@
 			return
 		}
 		x := &client{conn: conn}
-		x.say(`{"type":"state","id":"0","fields":{"load":"x0:%d;x1:%d"}}`, circuits, circuits)
-		go c.read(x)
+		x.send(`{"type":"state","id":"0","fields":{"load":"x0:%d;x1:%d"}}`, freeCircuits, freeCircuits)
+		go c.serve(x)
 	}
 }
 
-// read takes a connection's lines to its end; what waits on it is given up then.
-func (c *Core) read(x *client) {
+// serve handles a connection's messages until it ends. The set-ups waiting on it are abandoned then.
+func (c *Core) serve(x *client) {
 	defer x.conn.Close()
 	lines := bufio.NewScanner(x.conn)
-	lines.Buffer(nil, mostLine)
+	lines.Buffer(nil, maxLine)
 	var p fastjson.Parser
 	for lines.Scan() {
 		v, err := p.ParseBytes(lines.Bytes())
@@ -116,7 +120,7 @@
 			c.mu.Lock()
 			for _, j := range c.queue {
 				if j.id == id {
-					c.given[id] = true
+					c.abandoned[id] = true
 				}
 			}
 			c.mu.Unlock()
@@ -125,65 +129,67 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, j := range c.queue {
-		if j.on == x {
-			c.given[j.id] = true
+		if j.client == x {
+			c.abandoned[j.id] = true
 		}
 	}
 }
 
-// offer queues a set-up, or turns it away.
+// offer queues a set-up, or rejects it if it would wait longer than maxWait.
 func (c *Core) offer(j job) {
 	c.mu.Lock()
-	c.asked++
-	waits := 0
+	c.received++
+	waiting := 0
 	for _, q := range c.queue {
-		if !c.given[q.id] {
-			waits++
+		if !c.abandoned[q.id] {
+			waiting++
 		}
 	}
-	wait := time.Duration(waits) * c.setUp
-	c.worst = max(c.worst, wait)
-	if wait > c.turnAway {
-		c.turned++
+	wait := time.Duration(waiting) * c.setUpTime
+	c.longestWait = max(c.longestWait, wait)
+	if wait > c.maxWait {
+		c.rejected++
 		c.mu.Unlock()
-		j.on.say(`{"type":"release","id":%q,"fields":{"note":"swamped"},"cause":34}`, j.id)
+		j.client.send(`{"type":"release","id":%q,"fields":{"note":"swamped"},"cause":34}`, j.id)
 		return
 	}
 	c.queue = append(c.queue, j)
 	if len(c.queue) == 1 {
-		c.next(time.Now())
+		c.startNext(time.Now())
 	}
 	c.mu.Unlock()
 }
 
-// next has the first set-up that is still wanted answered when the line has done it. The lock is held.
-func (c *Core) next(now time.Time) {
-	for len(c.queue) > 0 && c.given[c.queue[0].id] {
-		delete(c.given, c.queue[0].id)
+// startNext drops abandoned set-ups and starts the processing of the first other one. c.mu must be held.
+func (c *Core) startNext(now time.Time) {
+	for len(c.queue) > 0 && c.abandoned[c.queue[0].id] {
+		delete(c.abandoned, c.queue[0].id)
 		c.queue = c.queue[1:]
 	}
 	if len(c.queue) == 0 {
 		return
 	}
-	if c.busy.Before(now) { // the line was idle; else it goes on from where it was, however late a timer is
-		c.busy = now
+	if c.busyUntil.Before(now) { // idle; else processing continues from busyUntil, so that late timers do not add up
+		c.busyUntil = now
 	}
-	c.busy = c.busy.Add(c.setUp)
-	time.AfterFunc(time.Until(c.busy), c.done)
+	c.busyUntil = c.busyUntil.Add(c.setUpTime)
+	time.AfterFunc(time.Until(c.busyUntil), c.finishSetUp)
 }
 
-// done answers the first set-up.
-func (c *Core) done() {
+// finishSetUp answers the first set-up, unless it is abandoned, starts the next one, and releases the answered call
+// after holdTime.
+func (c *Core) finishSetUp() {
 	c.mu.Lock()
 	j := c.queue[0]
-	given := c.given[j.id]
-	delete(c.given, j.id)
+	abandoned := c.abandoned[j.id]
+	delete(c.abandoned, j.id)
 	c.queue = c.queue[1:]
-	c.next(c.busy)
+	c.startNext(c.busyUntil)
 	c.mu.Unlock()
-	if given {
+	if abandoned {
 		return
 	}
-	j.on.say(`{"type":"answer","id":%q,"fields":{"load":"x0:%d;x1:%d"},"sdp":"v=0"}`, j.id, circuits, circuits)
-	time.AfterFunc(holds, func() { j.on.say(`{"type":"release","id":%q,"fields":{},"cause":16}`, j.id) })
+	j.client.send(`{"type":"answer","id":%q,"fields":{"load":"x0:%d;x1:%d"},"sdp":"v=0"}`, j.id,
+		freeCircuits, freeCircuits)
+	time.AfterFunc(holdTime, func() { j.client.send(`{"type":"release","id":%q,"fields":{},"cause":16}`, j.id) })
 }
--- a/internal/standin/mesh.go
+++ b/internal/standin/mesh.go
@@ -13,121 +13,127 @@
 )
 
 const (
-	dayStart   = time.Hour              // of the virtual clock: processors that started earlier did so long ago
-	resetAfter = 50 * time.Millisecond  // until the far end of a connection sees that its process has died
-	listedLate = 500 * time.Millisecond // until controllers hear that a processor was replaced
-	minStep    = time.Microsecond       // a controller that waits for its clock asks no sooner
-	loadEvery  = 300 * time.Millisecond // between two looks at a processor's wait that reports tell
+	dayStart        = time.Hour              // virtual start time of a mesh; processors with start time 0 are warm
+	resetDelay      = 50 * time.Millisecond  // from a process's death until the far ends of its connections detect it
+	listUpdateDelay = 500 * time.Millisecond // from the replacement of a processor until controllers receive the new list
+	minWakeDelay    = time.Microsecond       // minimum delay until a controller's next timer step
+	loadInterval    = 300 * time.Millisecond // between samples of the processors' waits for reports
 )
 
-// Config is what a Mesh is made of.
+// Config configures a Mesh.
 type Config struct {
 	Exchanges   int
-	Controllers int    // exchanges from 0 on that have a controller of this program; the others only answer
-	Lines       []Line // of the processors by exchange; one without costs takes no time
-	Circuits    func(a, b int) int
-	Delay       func(a, b int) time.Duration // one way
-	Hold        []time.Duration              // mean length of a call, by class
-	Settings    settings.Settings            // Here is set for each
-	Engine      func(exchange int, c *core.Config)
-	Reports     bool    // processors report their wait
-	Spoilt      float64 // share of the set-ups whose answers are lost in a reset
+	Controllers int                                // exchanges from 0 on with a controller; the others only answer
+	Lines       []ProcessorConfig                  // processors by exchange; without Costs jobs take no time
+	Circuits    func(a, b int) int                 // size of the circuit group between two exchanges
+	Delay       func(a, b int) time.Duration       // one-way delay between two exchanges
+	Hold        []time.Duration                    // mean duration of a call, by class
+	Settings    settings.Settings                  // Start sets Module.Here for each controller
+	Engine      func(exchange int, c *core.Config) // changes the configuration of each controller; may be nil
+	Reports     bool                               // exchanges report the waits of their processors
+	Spoilt      float64                            // share of the set-ups whose answers are lost in a reset
 	Seed        uint64
-	Log         *slog.Logger
+	Log         *slog.Logger // nil discards the log
 }
 
-// Mesh is a mesh of exchanges on one virtual clock.
+// Mesh is a mesh of exchanges on one virtual clock. It is not safe for concurrent use.
 type Mesh struct {
 	Config
 	Clock
-	Ledger Ledger
-	rng    *rand.Rand
-	nodes  []*Node
-	groups map[[2]int]*group
-	calls  map[string]*ticket
-	lastID uint64
-	loads  []*Callers
+	Ledger        Ledger
+	rng           *rand.Rand
+	nodes         []*Node
+	circuitGroups map[[2]int]*circuitGroup
+	callInfo      map[string]*callInfo
+	lastID        uint64
+	callers       []*Callers
 }
 
-// group is the circuits between two exchanges.
-type group struct{ size, used float64 }
+// circuitGroup is the circuits between two exchanges.
+type circuitGroup struct{ size, used float64 }
 
-// ticket is what the mesh knows of a try, under the key of its call.
-type ticket struct {
-	class, dest int
-	width       float64
-	hold        time.Duration
+// callInfo holds the properties of a try that the exchanges along its path need; it is found by the try's key.
+type callInfo struct {
+	class, destination int
+	width              float64
+	hold               time.Duration
 }
 
-// Node is an exchange: its processor and, where it has one, its controller.
+// Node is an exchange with its processor and, where there is one, its controller.
 type Node struct {
-	mesh   *Mesh
-	number int
-	Proc   *Processor
-	start  int // counts processors that stood here: part of the switch's id
-	waits  float64
-	engine *core.Engine
-	clock  func() time.Duration // the controller's own
-	epoch  int                  // counts the controller's starts
-	kicked bool
-	wake   time.Duration
-	out    map[string]*attempt // by key, sent from here
-	open   map[*try]struct{}   // of callers
+	mesh          *Mesh
+	number        int
+	Proc          *Processor
+	replacements  int // number of times the processor was replaced; part of the switch id
+	sampledWait   float64
+	engine        *core.Engine
+	clock         func() time.Duration // the controller's clock, which Config.Engine may change
+	epoch         int                  // incremented at each start and death of the controller
+	stepScheduled bool
+	wakeAt        time.Duration
+	attempts      map[string]*attempt // sent by this controller, by key
+	openTries     map[*try]struct{}   // of callers at this controller
 }
 
-// NewMesh returns a Mesh at the start of its day, with its controllers up.
-func NewMesh(c Config) (*Mesh, error) {
-	if c.Log == nil {
-		c.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
+// NewMesh returns a Mesh at dayStart with its controllers started.
+func NewMesh(config Config) (*Mesh, error) {
+	if config.Log == nil {
+		config.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
 	}
-	m := &Mesh{Config: c, rng: rand.New(rand.NewPCG(c.Seed, 77)), groups: map[[2]int]*group{}, calls: map[string]*ticket{}}
+	m := &Mesh{Config: config, rng: rand.New(rand.NewPCG(config.Seed, 77)), circuitGroups: map[[2]int]*circuitGroup{},
+		callInfo: map[string]*callInfo{}}
 	m.now = dayStart
 	m.Ledger = newLedger(m)
-	for i := range c.Exchanges {
-		m.nodes = append(m.nodes, &Node{mesh: m, number: i, Proc: newProcessor(&m.Clock, c.Lines[i])})
+	for i := range config.Exchanges {
+		m.nodes = append(m.nodes, &Node{mesh: m, number: i, Proc: newProcessor(&m.Clock, config.Lines[i])})
 		for j := range i {
-			m.groups[[2]int{j, i}] = &group{size: float64(c.Circuits(j, i))}
+			m.circuitGroups[[2]int{j, i}] = &circuitGroup{size: float64(config.Circuits(j, i))}
 		}
 	}
-	for i := range c.Controllers {
+	for i := range config.Controllers {
 		if err := m.Start(i); err != nil {
 			return nil, err
 		}
 	}
-	m.look()
+	m.sampleWaits()
 	return m, nil
 }
 
-// Node is an exchange by its number.
+// Node returns the exchange with a number.
 func (m *Mesh) Node(i int) *Node { return m.nodes[i] }
 
-// look reads the processors' waits now and then: reports tell what was read last.
-func (m *Mesh) look() {
+// sampleWaits samples the processors' waits every loadInterval. Reports carry the last sample.
+func (m *Mesh) sampleWaits() {
 	for _, n := range m.nodes {
-		n.waits = float64(n.Proc.Wait()) / float64(time.Millisecond)
+		n.sampledWait = float64(n.Proc.Wait()) / float64(time.Millisecond)
 	}
-	m.After(loadEvery, m.look)
+	m.After(loadInterval, m.sampleWaits)
 }
 
-// group is that between two exchanges.
-func (m *Mesh) group(a, b int) *group { return m.groups[[2]int{min(a, b), max(a, b)}] }
+// groupBetween returns the circuit group between two exchanges.
+func (m *Mesh) groupBetween(a, b int) *circuitGroup {
+	return m.circuitGroups[[2]int{min(a, b), max(a, b)}]
+}
 
-// id is the switch that stands at an exchange.
-func (n *Node) id() brookmux.SwitchID { return brookmux.SwitchID(n.start*1000 + n.number + 1) }
+// switchID returns the id of the exchange's current switch; each replacement gets a new one.
+func (n *Node) switchID() brookmux.SwitchID {
+	return brookmux.SwitchID(n.replacements*1000 + n.number + 1)
+}
 
-// at is the exchange of a switch.
-func (m *Mesh) at(id brookmux.SwitchID) *Node { return m.nodes[(int(id)-1)%1000] }
+// nodeOf returns the exchange of a switch, current or replaced.
+func (m *Mesh) nodeOf(id brookmux.SwitchID) *Node { return m.nodes[(int(id)-1)%1000] }
 
-// list is the name service's whole word.
-func (m *Mesh) list() brookmux.Members {
+// members returns the full membership list.
+func (m *Mesh) members() brookmux.Members {
 	l := brookmux.Members{Kind: brookmux.Full}
 	for _, n := range m.nodes {
-		l.Switches = append(l.Switches, brookmux.Switch{ID: n.id(), Number: n.number, State: brookmux.Ready, Since: n.Proc.since})
+		l.Switches = append(l.Switches, brookmux.Switch{ID: n.switchID(), Number: n.number, State: brookmux.Ready,
+			Since: n.Proc.startedAt})
 	}
 	return l
 }
 
-// Start starts a controller that knows nothing but the list.
+// Start starts a controller with no state but the membership list and the reports on its circuit groups.
 func (m *Mesh) Start(i int) error {
 	n := m.nodes[i]
 	s := m.Settings
@@ -142,132 +148,135 @@
 		return fmt.Errorf("standin: controller %d: %w", i, err)
 	}
 	n.clock = c.Clock
-	n.engine, n.out, n.open, n.wake = e, map[string]*attempt{}, map[*try]struct{}{}, 0
+	n.engine, n.attempts, n.openTries, n.wakeAt = e, map[string]*attempt{}, map[*try]struct{}{}, 0
 	n.epoch++
-	e.Listed(m.list())
-	for _, o := range m.nodes {
-		if o != n {
-			n.tell(o)
+	e.Listed(m.members())
+	for _, other := range m.nodes {
+		if other != n {
+			n.reportCircuits(other)
 		}
 	}
-	n.kick()
+	n.scheduleStep()
 	return nil
 }
 
-// Kill ends a controller: its connections are reset, and calls that stand go on without it.
+// Kill ends a controller as a crash does. Its connections are reset, and calls that stand continue without it.
 func (m *Mesh) Kill(i int) {
 	n := m.nodes[i]
 	n.engine = nil
 	n.epoch++
-	for _, a := range sorted(n.out) {
+	for _, a := range sortedAttempts(n.attempts) {
 		if !a.stands {
-			a.giveUp()
+			a.abandon()
 		}
 	}
-	for _, t := range sortedTries(n.open) {
-		m.After(resetAfter, t.reset)
+	for _, t := range sortedTries(n.openTries) {
+		m.After(resetDelay, t.connectionReset)
 	}
 }
 
-// Reconfigure puts other settings in force at a controller; the error that comes of it stands there once the
-// controller has taken them.
+// Reconfigure passes new settings to a controller. The returned variable receives the error, or nil, when the
+// controller has applied them.
 func (m *Mesh) Reconfigure(i int, s settings.Settings) *error {
 	out := new(error)
 	n := m.nodes[i]
 	s.Module.Here = n.number
-	n.event(func(e *core.Engine) { e.ConfigureLater(s, 0, func(err error) { *out = err }) })
+	n.withEngine(func(e *core.Engine) { e.ConfigureLater(s, 0, func(err error) { *out = err }) })
 	return out
 }
 
-// Drain lets a controller finish what is open, while callers go on calling it; the channel closes then.
+// Drain starts the drain of a controller and returns a channel that closes when the drain is complete. Callers continue
+// to call the controller.
 func (m *Mesh) Drain(i int) <-chan struct{} {
 	n := m.nodes[i]
-	defer n.kick()
+	defer n.scheduleStep()
 	return n.engine.Drain()
 }
 
-// Replace puts a cold processor in the place of the one at an exchange.
+// Replace replaces the processor of an exchange by a cold one. Attempts to it end with a reset, and the controllers
+// receive the new membership list after listUpdateDelay.
 func (m *Mesh) Replace(i int) {
 	n := m.nodes[i]
 	n.Proc.Restart()
-	n.start++
+	n.replacements++
 	for _, from := range m.nodes {
-		for _, a := range sorted(from.out) {
+		for _, a := range sortedAttempts(from.attempts) {
 			if a.to == n {
 				a.end(core.Outcome{Result: brookmux.ResultReset, Cause: core.TemporaryFailure}, 0)
 			}
 		}
 	}
-	m.After(listedLate, func() {
+	m.After(listUpdateDelay, func() {
 		for _, o := range m.nodes {
-			o.event(func(e *core.Engine) { e.Listed(m.list()) })
+			o.withEngine(func(e *core.Engine) { e.Listed(m.members()) })
 		}
 	})
 }
 
-// event hands something to the controller that is here, if there is one.
-func (n *Node) event(f func(*core.Engine)) {
+// withEngine calls f with the exchange's controller, if it is up, and schedules its next step.
+func (n *Node) withEngine(f func(*core.Engine)) {
 	if n.engine != nil {
 		f(n.engine)
-		n.kick()
+		n.scheduleStep()
 	}
 }
 
-// kick lets the controller handle what it was handed, once what happens now is over.
-func (n *Node) kick() {
-	if n.kicked {
+// scheduleStep schedules a step of the controller after the current event.
+func (n *Node) scheduleStep() {
+	if n.stepScheduled {
 		return
 	}
-	n.kicked = true
+	n.stepScheduled = true
 	n.mesh.After(0, func() {
-		n.kicked = false
+		n.stepScheduled = false
 		if n.engine == nil {
 			return
 		}
 		now := n.mesh.Now()
-		next := now + max(minStep, n.engine.Step()-n.clock()) // its clock may be off
-		if n.wake > now && n.wake <= next {
+		next := now + max(minWakeDelay, n.engine.Step()-n.clock()) // the controller's clock may differ from the mesh's
+		if n.wakeAt > now && n.wakeAt <= next {
 			return
 		}
-		n.wake = next
+		n.wakeAt = next
 		n.mesh.After(next-now, func() {
-			if n.wake == next {
-				n.kick()
+			if n.wakeAt == next {
+				n.scheduleStep()
 			}
 		})
 	})
 }
 
-// report is what an exchange tells of the group toward it and, where it does, of its processor.
-func (n *Node) report(o *Node, load bool) brookmux.Report {
-	r, g := settings.NoReport(), n.mesh.group(n.number, o.number)
+// report returns an exchange's report on the circuit group toward it and, with withWait and Config.Reports, on its
+// processor's wait.
+func (n *Node) report(to *Node, withWait bool) brookmux.Report {
+	r, g := settings.NoReport(), n.mesh.groupBetween(n.number, to.number)
 	r.Free, r.Size = g.size-g.used, g.size
-	if load && n.mesh.Reports {
-		r.Wait = o.waits
+	if withWait && n.mesh.Reports {
+		r.Wait = to.sampledWait
 	}
 	return r
 }
 
-// tell lets the controller know the state of the group toward another exchange.
-func (n *Node) tell(o *Node) {
-	n.event(func(e *core.Engine) { e.Reported(o.id(), n.report(o, false), true) })
+// reportCircuits reports the state of the circuit group toward another exchange to the controller.
+func (n *Node) reportCircuits(to *Node) {
+	n.withEngine(func(e *core.Engine) { e.Reported(to.switchID(), n.report(to, false), true) })
 }
 
-// take takes circuits between two exchanges, and tells whether there were enough.
-func (m *Mesh) take(a, b *Node, width float64) bool {
-	g := m.group(a.number, b.number)
+// seizeCircuits seizes circuits between two exchanges and reports whether enough were free.
+func (m *Mesh) seizeCircuits(a, b *Node, width float64) bool {
+	g := m.groupBetween(a.number, b.number)
 	if g.size-g.used < width {
 		return false
 	}
 	g.used += width
-	a.tell(b)
-	b.tell(a)
+	a.reportCircuits(b)
+	b.reportCircuits(a)
 	return true
 }
 
-// free gives them back.
-func (m *Mesh) free(a, b *Node, width float64) {
-	m.group(a.number, b.number).used -= width
-	a.tell(b)
-	b.tell(a)
+// releaseCircuits releases circuits between two exchanges.
+func (m *Mesh) releaseCircuits(a, b *Node, width float64) {
+	m.groupBetween(a.number, b.number).used -= width
+	a.reportCircuits(b)
+	b.reportCircuits(a)
 }
--- a/internal/standin/mesh_test.go
+++ b/internal/standin/mesh_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSameSeed: a day with a death and a cold processor breaks no rule, and plays the same again to the last call.
+// TestSameSeed: a run with killed controllers, a cold processor and a stalled one violates no rule, and a second run
+// with the same seed gives the same results.
 func TestSameSeed(t *testing.T) {
 	play := func() (Tally, int) {
 		m, err := NewMesh(MeshDay(5, 10, 7))
@@ -35,7 +36,7 @@
 	require.Greater(t, a.Served, 500.0)
 }
 
-// TestFallsOver: a cold processor that is sent too much falls over and stays down; a warm one does not.
+// TestFallsOver: an overloaded cold processor fails and stays down; a warm one under the same load does not.
 func TestFallsOver(t *testing.T) {
 	for _, cold := range []bool{false, true} {
 		c := &Clock{now: dayStart}
--- a/internal/standin/processor.go
+++ b/internal/standin/processor.go
@@ -2,117 +2,124 @@
 
 import "time"
 
-// Costs are the work of each job at a warm processor.
+// Costs holds the processing time of each kind of job at a warm processor.
 type Costs struct {
-	Look    time.Duration // at a call, also if it is refused
-	SetUp   time.Duration
-	Answer  time.Duration
-	Release time.Duration
-	Refuse  time.Duration // to turn a set-up away
-	Repeat  time.Duration // to read a set-up that is sent again while it waits
+	Receive        time.Duration // of a caller's request, whether rejected or not
+	SetUp          time.Duration
+	Answer         time.Duration
+	Release        time.Duration
+	Refuse         time.Duration // to reject a set-up
+	Retransmission time.Duration // to read a set-up that is retransmitted while it waits
 }
 
-// Line is what a processor with one line is made of.
-type Line struct {
+// ProcessorConfig configures a single-server processor.
+type ProcessorConfig struct {
 	Costs
-	TurnAway     time.Duration // set-ups that would wait longer are turned away, 0 for never
-	Resend       time.Duration // a set-up that waits is sent again after this, then at doubling gaps; 0 for never
-	ColdFrom     float64       // share of its work that a cold one does at first
-	WarmWithin   time.Duration
-	FallMultiple float64       // sent more than this multiple of what it can do
-	FallAfter    time.Duration // for so long, a cold one falls over and stays down
+	TurnAway        time.Duration // set-ups that would wait longer are rejected; 0 for none
+	RetransmitAfter time.Duration // first retransmission of a waiting set-up, then at doubling intervals; 0 for none
+	ColdFrom        float64       // initial speed of a cold processor, as a share of its full speed
+	WarmWithin      time.Duration // from a cold start to full speed
+	FallMultiple    float64       // overload limit of a cold processor, as a multiple of its current capacity
+	FallWindow      time.Duration // a cold processor over the limit in this period fails and stays down
 }
 
-// Processor does its work in turn.
+// Processor is a single server that processes jobs in order of arrival. After a cold start its speed rises linearly
+// from ColdFrom to full speed within WarmWithin.
 type Processor struct {
-	Line
-	clock   *Clock
-	since   time.Duration // its last start, 0 for long ago
-	queue   []job
-	pending time.Duration // work in the queue, as a warm one would do it
-	busy    bool
-	epoch   int // counts starts: what an earlier process began never ends
-	stalled bool
-	slow    float64   // it does this part of its work, 0 for all
-	arrived []arrival // set-ups of the last FallAfter, while cold
-
-	Worst  time.Duration // longest wait that a set-up met
-	Turned int           // set-ups turned away
-	Fell   bool          // it was pushed over
+	ProcessorConfig
+	clock        *Clock
+	startedAt    time.Duration // last start; 0 for a processor that is warm from the beginning
+	queue        []job
+	queuedCost   time.Duration // cost of the unfinished jobs at full speed
+	busy         bool
+	epoch        int // number of restarts; jobs begun in an earlier epoch never complete
+	stalled      bool
+	slowFactor   float64   // share of its speed; 0 for full speed
+	coldArrivals []arrival // set-ups of the last FallWindow, while cold
+
+	Worst  time.Duration // longest wait of an arriving set-up
+	Turned int           // set-ups rejected
+	Fell   bool          // it failed from overload while cold
 }
 
+// job is a unit of work in a processor's queue.
 type job struct {
-	work time.Duration
-	live func() bool // nil for always; a job that is not wanted any more is dropped for nothing
-	done func()
+	cost   time.Duration
+	wanted func() bool // a job that is not wanted when its turn comes is dropped at no cost; nil for always
+	done   func()
 }
 
+// arrival is the arrival of a set-up at a cold processor.
 type arrival struct {
 	at   time.Duration
-	work time.Duration
+	cost time.Duration
 }
 
-func newProcessor(c *Clock, l Line) *Processor { return &Processor{Line: l, clock: c} }
+func newProcessor(c *Clock, l ProcessorConfig) *Processor {
+	return &Processor{ProcessorConfig: l, clock: c}
+}
 
-// Restart puts a cold one in its place.
+// Restart replaces the processor by a cold one with an empty queue.
 func (p *Processor) Restart() {
-	p.since, p.queue, p.pending, p.busy, p.stalled, p.slow, p.Fell, p.arrived = p.clock.Now(), nil, 0, false, false, 0, false, nil
+	p.startedAt, p.queue, p.queuedCost, p.busy, p.stalled, p.slowFactor, p.Fell, p.coldArrivals =
+		p.clock.Now(), nil, 0, false, false, 0, false, nil
 	p.epoch++
 }
 
-// Stall lets it take work and do none for a while.
+// Stall makes the processor queue jobs without starting any for d.
 func (p *Processor) Stall(d time.Duration) {
 	p.stalled = true
 	epoch := p.epoch
 	p.clock.After(d, func() {
 		if p.epoch == epoch {
 			p.stalled = false
-			p.next()
+			p.startNext()
 		}
 	})
 }
 
-// Slow lets it do a part of its work for a while.
-func (p *Processor) Slow(part float64, d time.Duration) {
-	p.slow = part
+// Slow reduces the speed to factor times its normal value for d.
+func (p *Processor) Slow(factor float64, d time.Duration) {
+	p.slowFactor = factor
 	epoch := p.epoch
 	p.clock.After(d, func() {
 		if p.epoch == epoch {
-			p.slow = 0
+			p.slowFactor = 0
 		}
 	})
 }
 
-// Speed is the share of its work that it does now.
+// Speed returns the current speed as a share of full speed.
 func (p *Processor) Speed() float64 {
-	if p.slow > 0 {
-		return p.slow * p.warmth()
+	if p.slowFactor > 0 {
+		return p.slowFactor * p.warmUpSpeed()
 	}
-	return p.warmth()
+	return p.warmUpSpeed()
 }
 
-// warmth is the share of its work that a cold one does by now.
-func (p *Processor) warmth() float64 {
-	age := p.clock.Now() - p.since
-	if p.since == 0 || age >= p.WarmWithin {
+// warmUpSpeed returns the current speed as a share of full speed, without the effect of Slow.
+func (p *Processor) warmUpSpeed() float64 {
+	age := p.clock.Now() - p.startedAt
+	if p.startedAt == 0 || age >= p.WarmWithin {
 		return 1
 	}
 	return p.ColdFrom + (1-p.ColdFrom)*float64(age)/float64(p.WarmWithin)
 }
 
-// Wait is how long what comes now waits.
-func (p *Processor) Wait() time.Duration { return time.Duration(float64(p.pending) / p.Speed()) }
+// Wait returns how long a job that arrives now waits at the current speed.
+func (p *Processor) Wait() time.Duration { return time.Duration(float64(p.queuedCost) / p.Speed()) }
 
-// Do queues work that is never turned away.
-func (p *Processor) Do(work time.Duration, live func() bool, done func()) {
-	p.queue = append(p.queue, job{work, live, done})
-	p.pending += work
-	p.next()
+// Do queues a job that is never rejected. wanted and done may be nil; done runs when the job completes.
+func (p *Processor) Do(cost time.Duration, wanted func() bool, done func()) {
+	p.queue = append(p.queue, job{cost, wanted, done})
+	p.queuedCost += cost
+	p.startNext()
 }
 
-// SetUp queues a set-up, or turns it away.
-func (p *Processor) SetUp(live func() bool, done, refused func()) {
-	p.cold()
+// SetUp queues a set-up, and retransmissions while it waits, or rejects it if it would wait longer than TurnAway. done
+// runs when it completes; refused runs at once when it is rejected.
+func (p *Processor) SetUp(wanted func() bool, done, refused func()) {
+	p.checkOverload()
 	wait := p.Wait()
 	if p.Worst = max(p.Worst, wait); p.TurnAway > 0 && wait > p.TurnAway {
 		p.Turned++
@@ -120,65 +127,66 @@
 		refused()
 		return
 	}
-	waits := true
-	p.Do(p.Costs.SetUp, live, func() { waits = false; done() })
-	if p.Resend > 0 {
-		p.repeat(p.Resend, func() bool { return waits && live() })
+	waiting := true
+	p.Do(p.Costs.SetUp, wanted, func() { waiting = false; done() })
+	if p.RetransmitAfter > 0 {
+		p.retransmit(p.RetransmitAfter, func() bool { return waiting && wanted() })
 	}
 }
 
-// repeat queues the repeats of a set-up while it waits.
-func (p *Processor) repeat(gap time.Duration, waits func() bool) {
+// retransmit queues the retransmissions of a set-up while it waits, at doubling intervals below a minute.
+func (p *Processor) retransmit(interval time.Duration, waiting func() bool) {
 	epoch := p.epoch
-	p.clock.After(gap, func() {
-		if p.epoch == epoch && waits() && gap < time.Minute {
-			p.Do(p.Repeat, nil, nil)
-			p.repeat(2*gap, waits)
+	p.clock.After(interval, func() {
+		if p.epoch == epoch && waiting() && interval < time.Minute {
+			p.Do(p.Retransmission, nil, nil)
+			p.retransmit(2*interval, waiting)
 		}
 	})
 }
 
-// cold counts a set-up that reaches a cold processor, and pushes it over where they are too many.
-func (p *Processor) cold() {
-	speed, now := p.warmth(), p.clock.Now()
+// checkOverload counts a set-up that arrives at a cold processor, and makes the processor fail if the set-ups of the
+// last FallWindow exceed FallMultiple times its current capacity.
+func (p *Processor) checkOverload() {
+	speed, now := p.warmUpSpeed(), p.clock.Now()
 	if speed == 1 || p.FallMultiple <= 0 {
-		p.arrived = nil
+		p.coldArrivals = nil
 		return
 	}
-	p.arrived = append(p.arrived, arrival{now, p.Costs.SetUp})
+	p.coldArrivals = append(p.coldArrivals, arrival{now, p.Costs.SetUp})
 	sum := time.Duration(0)
-	for len(p.arrived) > 0 && p.arrived[0].at <= now-p.FallAfter {
-		p.arrived = p.arrived[1:]
+	for len(p.coldArrivals) > 0 && p.coldArrivals[0].at <= now-p.FallWindow {
+		p.coldArrivals = p.coldArrivals[1:]
 	}
-	for _, a := range p.arrived {
-		sum += a.work
+	for _, a := range p.coldArrivals {
+		sum += a.cost
 	}
-	if float64(sum) > p.FallMultiple*speed*float64(p.FallAfter) {
+	if float64(sum) > p.FallMultiple*speed*float64(p.FallWindow) {
 		p.Fell = true
 	}
 }
 
-// next starts the first job that is still wanted.
-func (p *Processor) next() {
+// startNext starts the first job that is still wanted, if the processor is idle, not stalled and has not failed.
+func (p *Processor) startNext() {
 	for !p.busy && !p.stalled && !p.Fell && len(p.queue) > 0 {
 		j := p.queue[0]
 		p.queue = p.queue[1:]
-		if j.live != nil && !j.live() {
-			p.pending -= j.work
+		if j.wanted != nil && !j.wanted() {
+			p.queuedCost -= j.cost
 			continue
 		}
 		p.busy = true
 		epoch := p.epoch
-		p.clock.After(time.Duration(float64(j.work)/p.Speed()), func() {
+		p.clock.After(time.Duration(float64(j.cost)/p.Speed()), func() {
 			if p.epoch != epoch {
 				return
 			}
-			p.pending -= j.work
+			p.queuedCost -= j.cost
 			p.busy = false
 			if j.done != nil {
 				j.done()
 			}
-			p.next()
+			p.startNext()
 		})
 	}
 }
--- a/internal/standin/record.go
+++ b/internal/standin/record.go
@@ -2,54 +2,56 @@
 
 import "time"
 
-// Record keeps what became of calls.
+// Record records calls and their results.
 type Record struct {
 	Calls     []*Call
-	Told      map[[2]int][]time.Duration // waits told, in turn, by a controller and its start
-	Unreached int                        // tries that found nobody listening
+	Told      map[[2]int][]time.Duration // advised waits in order, by exchange number and epoch of the controller
+	Unreached int                        // tries at controllers that were down
 }
 
 // NewRecord returns an empty Record.
 func NewRecord() *Record { return &Record{Told: map[[2]int][]time.Duration{}} }
 
-func (r *Record) offered(k *Call) { r.Calls = append(r.Calls, k) }
+// addCall records a new call.
+func (r *Record) addCall(k *Call) { r.Calls = append(r.Calls, k) }
 
-func (r *Record) told(by *Node, wait time.Duration) {
+// addWait records a wait that a controller has advised, rounded to a millisecond; 0 is not recorded.
+func (r *Record) addWait(by *Node, wait time.Duration) {
 	if wait > 0 {
 		k := [2]int{by.number, by.epoch}
 		r.Told[k] = append(r.Told[k], wait.Round(time.Millisecond))
 	}
 }
 
-// Alike counts the waits that the same controller had told before, among its last so many.
-func (r *Record) Alike(among int) int {
-	alike := 0
-	for _, told := range r.Told {
+// Alike returns how many advised waits repeat one of the preceding window waits of the same controller.
+func (r *Record) Alike(window int) int {
+	repeated := 0
+	for _, waits := range r.Told {
 		recent := map[time.Duration]int{}
-		for i, w := range told {
-			if i >= among {
-				recent[told[i-among]]--
+		for i, w := range waits {
+			if i >= window {
+				recent[waits[i-window]]--
 			}
 			if recent[w] > 0 {
-				alike++
+				repeated++
 			}
 			recent[w]++
 		}
 	}
-	return alike
+	return repeated
 }
 
-// OfDay is a time of the virtual clock as one of the day.
+// OfDay converts a time of the virtual clock to the time since the start of the mesh.
 func OfDay(at time.Duration) time.Duration { return at - dayStart }
 
-// Tally is what became of the calls of a span of time.
+// Tally sums up the calls of a period.
 type Tally struct {
 	Offered, Tries int
-	Worth, Served  float64 // offered, and of calls that stood within their aim
-	InTime         int
+	Worth, Served  float64 // of all calls, and of those answered within their class's aim
+	InTime         int     // calls answered within their class's aim
 }
 
-// Share is the part of the worth that was served in time.
+// Share returns the share of the worth that was served in time, 0 without calls.
 func (t Tally) Share() float64 {
 	if t.Worth == 0 {
 		return 0
@@ -57,18 +59,19 @@
 	return t.Served / t.Worth
 }
 
-// Span counts the calls first tried between two times of the day that fit.
-func (m *Mesh) Span(r *Record, from, to time.Duration, fit func(*Call) bool) Tally {
+// Span sums up the calls whose first try was in [from, to) since the start of the mesh. include selects the calls; nil
+// selects all.
+func (m *Mesh) Span(r *Record, from, to time.Duration, include func(*Call) bool) Tally {
 	var t Tally
 	for _, k := range r.Calls {
-		if at := k.At - dayStart; at < from || at >= to || fit != nil && !fit(k) {
+		if at := k.FirstTryAt - dayStart; at < from || at >= to || include != nil && !include(k) {
 			continue
 		}
 		class := m.Settings.Module.Classes[k.Class]
 		t.Offered++
 		t.Tries += k.Tries
 		t.Worth += class.Worth
-		if k.Stood > 0 && k.Stood-k.At <= class.Aim {
+		if k.StoodAt > 0 && k.StoodAt-k.FirstTryAt <= class.Aim {
 			t.InTime++
 			t.Served += class.Worth
 		}
@@ -76,5 +79,5 @@
 	return t
 }
 
-// Until runs the day up to a time.
+// Until runs the mesh up to a time since its start.
 func (m *Mesh) Until(t time.Duration) { m.Run(dayStart + t) }
