--- a/internal/faulttrial/caller_faults.go
+++ b/internal/faulttrial/caller_faults.go
@@ -8,35 +8,37 @@
 	"time"
 )
 
-// textMuted is the text of the fault that a connection is cut without a sign.
+// textMuted is the event text of a connection that is cut without a FIN or RST. The checker matches it.
 const textMuted = "connection cut without a sign"
 
-// Mute cuts one of the connections without a sign: what the controller sends on it is not read any more.
-func (c *Callers) Mute() {
+// MuteConnection simulates a connection that is lost without a FIN or RST: from now on, what the controller sends on it
+// is discarded. It picks a connection without unanswered set-ups, and does nothing if there is none or only one
+// connection is open.
+func (c *Callers) MuteConnection() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, x := range c.conns {
-		if !c.hasOpen(x) && len(c.conns) > 1 {
-			c.record.Add(Event{Kind: Fault, Controller: c.controller, Connection: x.number, Text: textMuted})
-			x.muted.Store(true)
-			c.remove(x)
+	for _, conn := range c.conns {
+		if !c.hasUnanswered(conn) && len(c.conns) > 1 {
+			c.record.Add(Event{Kind: Fault, Controller: c.controller, Connection: conn.number, Text: textMuted})
+			conn.muted.Store(true)
+			c.removeConnection(conn)
 			return
 		}
 	}
 }
 
-// hasOpen tells whether a set-up on a connection is not answered. The lock is held.
-func (c *Callers) hasOpen(x *callerConn) bool {
-	for _, call := range c.open {
-		if call.conn == x && !call.answered {
+// hasUnanswered reports whether a connection has a set-up without a final answer. The caller holds c.mu.
+func (c *Callers) hasUnanswered(conn *callerConn) bool {
+	for _, call := range c.calls {
+		if call.conn == conn && !call.answered {
 			return true
 		}
 	}
 	return false
 }
 
-// Crowd opens connections that say nothing, until the returned function is called.
-func (c *Callers) Crowd(n int) (end func()) {
+// OpenIdleConnections opens n connections and sends nothing on them. The returned function closes them.
+func (c *Callers) OpenIdleConnections(n int) (closeAll func()) {
 	c.record.Add(Event{Kind: Fault, Controller: c.controller, Text: fmt.Sprintf("crowd of %d connections", n)})
 	var conns []net.Conn
 	for range n {
@@ -51,9 +53,10 @@
 	}
 }
 
-// Misbehave sends what can't be read, on connections of its own.
-func (c *Callers) Misbehave(n int) {
-	texts := []string{"NONSENSE\r\n\r\n", "INVITE sip:aa@net SIP/2.0\r\nCall-ID: x\r\nCSeq: 1 INVITE\r\nContent-Length: -5\r\n\r\n",
+// SendMalformed opens n connections, sends an invalid, truncated or unexpected message on each, and closes them after
+// three seconds.
+func (c *Callers) SendMalformed(n int) {
+	messages := []string{"NONSENSE\r\n\r\n", "INVITE sip:aa@net SIP/2.0\r\nCall-ID: x\r\nCSeq: 1 INVITE\r\nContent-Length: -5\r\n\r\n",
 		"INVITE sip:aa@net SIP/2.0\r\nContent-Length: 99999999999\r\n\r\n", "INVITE sip:aa@net SIP/2.0\r\nCall-ID: 12", strings.Repeat("X", 40000),
 		"BYE sip:aa@net SIP/2.0\r\nCall-ID: 00000000deadbeef\r\nCSeq: 2 BYE\r\nContent-Length: 0\r\n\r\n"}
 	for i := range n {
@@ -61,7 +64,7 @@
 		if err != nil {
 			continue
 		}
-		_, _ = io.WriteString(conn, texts[i%len(texts)]) // it may be closed meanwhile
+		_, _ = io.WriteString(conn, messages[i%len(messages)]) // the controller may have closed the connection
 		time.AfterFunc(3*time.Second, func() { conn.Close() })
 	}
 }
--- a/internal/faulttrial/controller.go
+++ b/internal/faulttrial/controller.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// Settings are what a trial's controllers are told, drawn from the seed.
+// Settings configures the controllers of a trial. NewPlan draws it from the seed.
 type Settings struct {
 	Classes        []Class       `json:"classes"`
 	ConnectTimeout time.Duration `json:"connect_timeout"`
@@ -26,7 +26,7 @@
 	Descriptors    int           `json:"descriptors"`
 }
 
-// Class is a class of call.
+// Class is a class of calls: the target and the maximum time to the answer, and the expected length of the calls.
 type Class struct {
 	Name     string        `json:"name"`
 	Aim      time.Duration `json:"aim"`
@@ -34,7 +34,7 @@
 	Hold     time.Duration `json:"hold"`
 }
 
-// LongestDeadline is that of all classes.
+// LongestDeadline returns the longest deadline of all classes.
 func (s Settings) LongestDeadline() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range s.Classes {
@@ -43,50 +43,52 @@
 	return longest
 }
 
-// KillAfter is the time from SIGTERM to the earliest SIGKILL.
+// KillAfter returns the minimum time between SIGTERM and SIGKILL.
 func (s Settings) KillAfter() time.Duration {
 	return min(s.LongestDeadline(), shutdownCounts) + shutdownMargin
 }
 
-// Controller is one border controller as it is deployed: the program's process, with files of its own.
+// Controller runs one border controller as it is deployed: a process of the program with its own configuration and log
+// files.
 type Controller struct {
-	Name     string
-	path     string
-	dir      string
-	settings Settings
-	seed     uint64
-	names    *Discovery
-	record   *Recorder
-	address  string
-
-	mu      sync.Mutex
-	command *exec.Cmd
-	exited  chan struct{}
-	log     *os.File
-	stopped bool // it was told to end: its exit is no crash
+	Name      string
+	program   string
+	dir       string
+	settings  Settings
+	seed      uint64
+	discovery *Discovery
+	record    *Recorder
+	address   string
+
+	mu            sync.Mutex
+	command       *exec.Cmd
+	exited        chan struct{}
+	log           *os.File
+	stopRequested bool // SIGTERM or SIGKILL was sent: the exit is not a crash
 }
 
-// NewController prepares a controller; its files and log go to a folder of its own under dir.
-func NewController(name, host, path, dir string, s Settings, seed uint64, names *Discovery, record *Recorder) (*Controller, error) {
-	c := &Controller{Name: name, path: path, dir: filepath.Join(dir, name), settings: s, seed: seed, names: names, record: record}
+// NewController prepares a controller, which Start starts. It creates the folder dir/name for the controller's files
+// and log, and reserves no port: another process may take the chosen one before Start.
+func NewController(name, host, program, dir string, settings Settings, seed uint64, discovery *Discovery, record *Recorder) (*Controller, error) {
+	c := &Controller{Name: name, program: program, dir: filepath.Join(dir, name), settings: settings, seed: seed, discovery: discovery, record: record}
 	if err := os.MkdirAll(c.dir, 0o755); err != nil {
 		return nil, fmt.Errorf("faulttrial: controller: %w", err)
 	}
-	l, err := net.Listen("tcp", net.JoinHostPort(host, "0")) // a port that is free now
+	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0")) // picks a free port
 	if err != nil {
 		return nil, fmt.Errorf("faulttrial: controller: %w", err)
 	}
-	c.address = l.Addr().String()
-	return c, l.Close()
+	c.address = listener.Addr().String()
+	return c, listener.Close()
 }
 
-// Address is where callers connect.
+// Address returns the address that callers connect to.
 func (c *Controller) Address() string { return c.address }
 
-// WriteConfig writes the configuration file; with faulty it is one that can't be used.
-func (c *Controller) WriteConfig(faulty bool) error {
-	text := c.config()
-	if faulty {
+// WriteConfig replaces the configuration file atomically. If invalid is set, the file is truncated and can't be parsed.
+func (c *Controller) WriteConfig(invalid bool) error {
+	text := c.configJSON()
+	if invalid {
 		text = text[:len(text)/2]
 	}
 	path := filepath.Join(c.dir, "config.json")
@@ -96,12 +98,13 @@
 	return os.Rename(path+".next", path)
 }
 
-func (c *Controller) config() string {
-	var classes, holds, widths []string
-	for _, k := range c.settings.Classes {
+// configJSON returns the configuration file's text. The addresses in it are those of discovery at present.
+func (c *Controller) configJSON() string {
+	var classes, holdTimes, widths []string
+	for _, class := range c.settings.Classes {
 		classes = append(classes, fmt.Sprintf(`{"name":%q,"aimMs":%d,"deadlineMs":%d,"gain":1,"lateValue":0.25}`,
-			k.Name, k.Aim.Milliseconds(), k.Deadline.Milliseconds()))
-		holds = append(holds, strconv.FormatInt(k.Hold.Milliseconds(), 10))
+			class.Name, class.Aim.Milliseconds(), class.Deadline.Milliseconds()))
+		holdTimes = append(holdTimes, strconv.FormatInt(class.Hold.Milliseconds(), 10))
 		widths = append(widths, "1")
 	}
 	return fmt.Sprintf(`{"name":%q,"listen":%q,"seed":"%016x","limits":{"cores":1,"memory_mb":%d,"sockets":%d},
@@ -110,12 +113,14 @@
 "maxRetryAfterMs":2000,"connectTimeoutMs":%d,"probes":false},"rules":{"warmWithinMs":14000,"coldFrom":0.3,"fallMultiple":4,
 "tipAfterMs":2000,"drainGraceMs":1000},
 "specifics":{"here":0,"releaseGuardMs":300,"classHoldMs":[%s],"channelsNeeded":[%s]}}}`, c.Name, c.address, c.seed, c.settings.Memory,
-		c.settings.Descriptors, c.names.Address(c.Name), c.names.Known(c.Name), strings.Join(classes, ","), c.settings.MaxAttempts,
-		c.settings.ConnectTimeout.Milliseconds(), strings.Join(holds, ","), strings.Join(widths, ","))
+		c.settings.Descriptors, c.discovery.Address(c.Name), c.discovery.KnownMembers(c.Name), strings.Join(classes, ","), c.settings.MaxAttempts,
+		c.settings.ConnectTimeout.Milliseconds(), strings.Join(holdTimes, ","), strings.Join(widths, ","))
 }
 
-// Start starts the program and returns once it passes a test.
-func (c *Controller) Start(ready time.Duration) error {
+// Start writes the configuration, starts the program and returns once it answers an OPTIONS request, or with an error
+// when the timeout has passed. The process's exit is recorded, as a crash unless Signal was called with SIGTERM or
+// SIGKILL.
+func (c *Controller) Start(timeout time.Duration) error {
 	if err := c.WriteConfig(false); err != nil {
 		return err
 	}
@@ -123,20 +128,20 @@
 	if err != nil {
 		return fmt.Errorf("faulttrial: controller: %w", err)
 	}
-	command := exec.Command(c.path)
-	none := filepath.Join(c.dir, "none")
+	command := exec.Command(c.program)
+	missing := filepath.Join(c.dir, "none")
 	command.Env = []string{"GW_NAME=" + c.Name, "GW_LISTEN=" + c.address, "GW_CONFIG=" + filepath.Join(c.dir, "config.json"),
-		"TMPDIR=" + c.dir, "BROOKMUX_M3UA=" + none, "BROOKMUX_STORE=" + none, "BROOKMUX_STORM=" + none, "BROOKMUX_NETCONF=" + none,
+		"TMPDIR=" + c.dir, "BROOKMUX_M3UA=" + missing, "BROOKMUX_STORE=" + missing, "BROOKMUX_STORM=" + missing, "BROOKMUX_NETCONF=" + missing,
 		"BROOKMUX_LOG_LEVEL=" + cmp.Or(os.Getenv("BROOKMUX_LOG_LEVEL"), "info")}
 	command.Stdout, command.Stderr = log, log
-	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none is left behind
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no process outlives the trial
 	c.record.Add(Event{Kind: ProcessStart, Controller: c.Name})
 	if err := command.Start(); err != nil {
 		return fmt.Errorf("faulttrial: controller: %w", err)
 	}
 	exited := make(chan struct{})
 	c.mu.Lock()
-	c.command, c.exited, c.log, c.stopped = command, exited, log, false
+	c.command, c.exited, c.log, c.stopRequested = command, exited, log, false
 	c.mu.Unlock()
 	go func() {
 		err := command.Wait()
@@ -145,7 +150,7 @@
 		if err != nil {
 			text = err.Error()
 		}
-		if !c.stopped {
+		if !c.stopRequested {
 			text = "crashed: " + text
 		}
 		c.mu.Unlock()
@@ -153,17 +158,18 @@
 		log.Close()
 		close(exited)
 	}()
-	for began := time.Now(); time.Since(began) < ready; time.Sleep(10 * time.Millisecond) {
-		if c.passesTest() {
+	for startTime := time.Now(); time.Since(startTime) < timeout; time.Sleep(10 * time.Millisecond) {
+		if c.answersOptions() {
 			c.record.Add(Event{Kind: ProcessReady, Controller: c.Name})
 			return nil
 		}
 	}
-	return fmt.Errorf("faulttrial: %s is not ready in %v", c.Name, ready)
+	return fmt.Errorf("faulttrial: %s is not ready after %v", c.Name, timeout)
 }
 
-// passesTest asks with OPTIONS.
-func (c *Controller) passesTest() bool {
+// answersOptions reports whether the controller answers an OPTIONS request with 200. It waits up to a second each for
+// the connection and the answer.
+func (c *Controller) answersOptions() bool {
 	conn, err := net.DialTimeout("tcp", c.address, time.Second)
 	if err != nil {
 		return false
@@ -173,36 +179,36 @@
 		return false
 	}
 	fmt.Fprint(conn, "OPTIONS sip:ping@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: 00000000000000f0\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n")
-	for r := textproto.NewReader(bufio.NewReader(conn)); ; {
-		m, err := readSIP(r)
+	for reader := textproto.NewReader(bufio.NewReader(conn)); ; {
+		message, err := readSIP(reader)
 		if err != nil {
 			return false
 		}
-		if m.status > 0 { // releases of an earlier process's calls may come before
-			return m.status == 200
+		if message.status > 0 { // releases of an earlier process's calls may arrive first
+			return message.status == 200
 		}
 	}
 }
 
-// Signal sends a signal to the program.
-func (c *Controller) Signal(s syscall.Signal) {
+// Signal sends a signal to the program and records it. After SIGTERM and SIGKILL, the program's exit is not a crash.
+func (c *Controller) Signal(signal syscall.Signal) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if s == syscall.SIGTERM || s == syscall.SIGKILL {
-		c.stopped = true
+	if signal == syscall.SIGTERM || signal == syscall.SIGKILL {
+		c.stopRequested = true
 	}
-	c.record.Add(Event{Kind: ProcessSignal, Controller: c.Name, Text: s.String()})
-	_ = c.command.Process.Signal(s) // it may have ended
+	c.record.Add(Event{Kind: ProcessSignal, Controller: c.Name, Text: signal.String()})
+	_ = c.command.Process.Signal(signal) // the process may have ended
 }
 
-// Exited is closed when the program has ended.
+// Exited returns a channel that is closed when the present process has ended.
 func (c *Controller) Exited() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.exited
 }
 
-// Kill ends the program and waits for its end.
+// Kill sends SIGKILL to the program and waits for its end. It does nothing if the program is not running.
 func (c *Controller) Kill() {
 	c.mu.Lock()
 	command, exited := c.command, c.exited
@@ -219,21 +225,21 @@
 	<-exited
 }
 
-// Measure records the program's memory and descriptors.
-func (c *Controller) Measure() {
+// RecordUsage records the program's resident memory and its number of open descriptors, if it is running.
+func (c *Controller) RecordUsage() {
 	c.mu.Lock()
 	command := c.command
 	c.mu.Unlock()
 	if command == nil || command.Process == nil {
 		return
 	}
-	proc := "/proc/" + strconv.Itoa(command.Process.Pid)
-	status, err := os.ReadFile(proc + "/statm")
+	procDir := "/proc/" + strconv.Itoa(command.Process.Pid)
+	statm, err := os.ReadFile(procDir + "/statm")
 	if err != nil {
-		return // it has ended
+		return // the process has ended
 	}
-	fields := strings.Fields(string(status))
-	open, err := os.ReadDir(proc + "/fd")
+	fields := strings.Fields(string(statm))
+	descriptors, err := os.ReadDir(procDir + "/fd")
 	if err != nil || len(fields) < 2 {
 		return
 	}
@@ -241,11 +247,11 @@
 	if err != nil {
 		return
 	}
-	c.record.Add(Event{Kind: Usage, Controller: c.Name, Memory: pages * int64(os.Getpagesize()), Descriptors: len(open)})
+	c.record.Add(Event{Kind: Usage, Controller: c.Name, Memory: pages * int64(os.Getpagesize()), Descriptors: len(descriptors)})
 }
 
-// String describes the settings.
+// String returns the settings as JSON.
 func (s Settings) String() string {
-	b, _ := json.Marshal(s) // plain values
+	b, _ := json.Marshal(s) // can't fail: all values are strings and numbers
 	return string(b)
 }
--- a/internal/faulttrial/core.go
+++ b/internal/faulttrial/core.go
@@ -9,103 +9,104 @@
 )
 
 const (
-	stateConnections = 4               // connections that a group's state is sent on
-	releaseRepeat    = 2 * time.Second // a release this old is still repeated on the next connection
-	maxLine          = 16 << 10
+	maxStateConnections = 4               // a change of a group's state is sent on at most this many connections
+	releaseRepeatPeriod = 2 * time.Second // a release is repeated on each connection opened within this time
+	maxMessageLength    = 16 << 10
 )
 
-// Behaviour is how a stand-in core serves calls.
-type Behaviour struct {
+// CoreBehaviour configures how a stand-in core serves calls. Shares are between 0 and 1.
+type CoreBehaviour struct {
 	Work   time.Duration // mean time from set-up to answer
 	Hold   time.Duration // mean length of a call
-	Refuse float64       // share of the set-ups refused or failed
-	Spoil  float64       // share of the answers that come spoilt, on a connection of no further use afterwards
-	Pieces bool          // lines are written in pieces of 1 to 20 bytes
+	Refuse float64       // share of the set-ups that are refused or fail
+	Spoil  float64       // share of the answers that are malformed; their connection is not read or written afterwards
+	Pieces bool          // write lines in pieces of 1 to 20 bytes
 
-	BreakOff float64 // share of the answers that break off, with a reset of their connection
+	BreakOff float64 // share of the answers that are truncated by a reset of their connection
 }
 
-// CoreProcess is a stand-in core: one process with one listener for each controller that may reach it, so that faults
-// can strike one way only. Use StartCore.
+// CoreProcess is a stand-in core. It has a separate listener for each controller, so that a fault can affect the
+// connection to one controller only. Create it with StartCore. Its methods are safe for concurrent use.
 type CoreProcess struct {
 	ID        string
-	Number    int // of its exchange
-	behaviour Behaviour
+	Number    int // number of its exchange
+	behaviour CoreBehaviour
 	record    *Recorder
 
-	mu     sync.Mutex
-	random *rand.Rand
-	ways   map[string]*way // by controller
-	calls  map[string]*coreCall
-	dead   bool
-	frozen bool // neither reads nor writes
-	thaw   chan struct{}
+	mu      sync.Mutex
+	random  *rand.Rand
+	links   map[string]*controllerLink // by controller
+	calls   map[string]*coreCall
+	ended   bool
+	paused  bool // reads and writes nothing
+	resumed chan struct{}
 }
 
-// coreCall is a set-up at work or a call that stands.
+// coreCall is a set-up in progress or a standing call.
 type coreCall struct {
-	id     string
-	way    *way
-	on     *coreConn
-	stands bool
-	timer  *time.Timer
-	due    bool // its end came while the core was frozen
+	id         string
+	link       *controllerLink
+	conn       *coreConn
+	stands     bool
+	timer      *time.Timer
+	endPending bool // its hold time ended while the core was paused
 }
 
-// StartCore starts a core with a group of so many circuits towards each controller. Where addresses names one for a
-// controller, the core listens there, else at ports of the host.
-func StartCore(id, host string, number, circuits int, controllers []string, addresses map[string]string, b Behaviour, seed uint64, record *Recorder) (*CoreProcess, error) {
-	c := &CoreProcess{ID: id, Number: number, behaviour: b, record: record, random: rand.New(rand.NewPCG(seed, 17)),
-		ways: map[string]*way{}, calls: map[string]*coreCall{}}
+// StartCore starts a core with a group of the given number of circuits towards each controller. It listens at the
+// controller's entry in addresses or, without one, at a free port of the host.
+func StartCore(id, host string, number, circuits int, controllers []string, addresses map[string]string, behaviour CoreBehaviour, seed uint64, record *Recorder) (*CoreProcess, error) {
+	c := &CoreProcess{ID: id, Number: number, behaviour: behaviour, record: record, random: rand.New(rand.NewPCG(seed, 17)),
+		links: map[string]*controllerLink{}, calls: map[string]*coreCall{}}
 	for _, name := range controllers {
 		address := addresses[name]
 		if address == "" {
 			address = net.JoinHostPort(host, "0")
 		}
-		l, err := net.Listen("tcp", address)
+		listener, err := net.Listen("tcp", address)
 		if err != nil {
 			c.Crash()
 			return nil, fmt.Errorf("faulttrial: core: %w", err)
 		}
-		w := &way{core: c, controller: name, listener: l.(*net.TCPListener), address: l.Addr().String(), size: circuits,
+		link := &controllerLink{core: c, controller: name, listener: listener.(*net.TCPListener), address: listener.Addr().String(), size: circuits,
 			conns: map[*coreConn]struct{}{}}
-		c.ways[name] = w
-		go w.accept(w.listener)
+		c.links[name] = link
+		go link.acceptConnections(link.listener)
 	}
 	return c, nil
 }
 
-// Address is where a controller reaches the core.
-func (c *CoreProcess) Address(controller string) string { return c.ways[controller].address }
+// Address returns the address at which a controller reaches the core.
+func (c *CoreProcess) Address(controller string) string { return c.links[controller].address }
 
-// Addresses are all of them, by controller.
+// Addresses returns the addresses of all listeners, by controller.
 func (c *CoreProcess) Addresses() map[string]string {
 	out := map[string]string{}
-	for name, w := range c.ways {
-		out[name] = w.address
+	for name, link := range c.links {
+		out[name] = link.address
 	}
 	return out
 }
 
-// setUp takes a set-up.
-func (c *CoreProcess) setUp(x *coreConn, m line) {
+// handleSetUp handles a set-up: it occupies a circuit, and answers or refuses the set-up after the service time.
+// Without a free circuit the set-up is refused.
+func (c *CoreProcess) handleSetUp(conn *coreConn, m coreMessage) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.record.Add(Event{Kind: CoreSetup, Call: m.ID, Core: c.ID, Controller: x.way.controller})
+	c.record.Add(Event{Kind: CoreSetup, Call: m.ID, Core: c.ID, Controller: conn.link.controller})
 	refuse, cause, note := c.random.Float64() < c.behaviour.Refuse, 34, "swamped"
 	if c.random.IntN(2) == 0 {
 		cause, note = 17, ""
 	}
-	work := time.Duration(c.random.ExpFloat64() * float64(c.behaviour.Work))
-	if x.way.used >= x.way.size {
+	serviceTime := time.Duration(c.random.ExpFloat64() * float64(c.behaviour.Work))
+	if conn.link.used >= conn.link.size {
 		refuse, cause, note = true, 34, "blocked"
 	}
-	call := &coreCall{id: m.ID, way: x.way, on: x}
+	call := &coreCall{id: m.ID, link: conn.link, conn: conn}
 	c.calls[m.ID] = call
-	x.way.used++
-	x.way.tell()
-	call.timer = time.AfterFunc(work, func() {
-		if !c.waitThaw() {
+	conn.link.used++
+	conn.link.sendState()
+	call.timer = time.AfterFunc(serviceTime, func() {
+		if !c.waitResumed() {
 			return
 		}
 		if refuse {
@@ -116,31 +117,32 @@
 	})
 }
 
-// drop takes a call off. The lock is held.
-func (c *CoreProcess) drop(call *coreCall) {
+// removeCall removes a call and frees its circuit. The caller holds c.mu.
+func (c *CoreProcess) removeCall(call *coreCall) {
 	call.timer.Stop()
 	delete(c.calls, call.id)
-	call.way.used--
-	call.way.tell()
+	call.link.used--
+	call.link.sendState()
 }
 
+// refuse ends a set-up with a release.
 func (c *CoreProcess) refuse(call *coreCall, cause int, note string) {
 	c.mu.Lock()
 	if c.calls[call.id] != call {
 		c.mu.Unlock()
 		return
 	}
-	c.drop(call)
+	c.removeCall(call)
 	c.record.Add(Event{Kind: CoreRefuse, Call: call.id, Core: c.ID, Cause: cause})
 	c.mu.Unlock()
 	fields := map[string]any{}
 	if note != "" {
 		fields["note"] = note
 	}
-	call.on.send(line{Type: "release", ID: call.id, Fields: fields, Cause: cause})
+	call.conn.send(coreMessage{Type: "release", ID: call.id, Fields: fields, Cause: cause})
 }
 
-// answer makes a call stand, and sets the time of its end.
+// answer answers a set-up and schedules the end of the call.
 func (c *CoreProcess) answer(call *coreCall) {
 	c.mu.Lock()
 	if c.calls[call.id] != call {
@@ -156,74 +158,75 @@
 	if spoil || breakOff {
 		text = ""
 	}
-	c.record.Add(Event{Kind: CoreAnswer, Call: call.id, Core: c.ID, Controller: call.way.controller, Text: text})
+	c.record.Add(Event{Kind: CoreAnswer, Call: call.id, Core: c.ID, Controller: call.link.controller, Text: text})
 	call.timer = time.AfterFunc(hold, func() { c.finish(call) })
 	c.mu.Unlock()
 	switch {
 	case spoil:
-		call.on.spoil()
+		call.conn.sendMalformed()
 		return
 	case breakOff:
-		call.on.breakOff(call.id)
+		call.conn.sendTruncated(call.id)
 		return
 	}
-	call.on.send(line{Type: "answer", ID: call.id, SDP: &sdp})
+	call.conn.send(coreMessage{Type: "answer", ID: call.id, SDP: &sdp})
 }
 
-// finish ends a call that stands by itself.
+// finish ends a standing call at the end of its hold time and sends its release, or queues the release while there is
+// no usable connection. While the core is paused, the end is deferred to Restore.
 func (c *CoreProcess) finish(call *coreCall) {
 	c.mu.Lock()
-	if c.dead || c.calls[call.id] != call {
+	if c.ended || c.calls[call.id] != call {
 		c.mu.Unlock()
 		return
 	}
-	if c.frozen {
-		call.due = true
+	if c.paused {
+		call.endPending = true
 		c.mu.Unlock()
 		return
 	}
-	c.drop(call)
-	c.record.Add(Event{Kind: CoreEnd, Call: call.id, Core: c.ID, Controller: call.way.controller, Text: "finished"})
-	on := call.way.connectionFor(call)
-	if on == nil {
-		call.way.queued = append(call.way.queued, call.id)
+	c.removeCall(call)
+	c.record.Add(Event{Kind: CoreEnd, Call: call.id, Core: c.ID, Controller: call.link.controller, Text: "finished"})
+	conn := call.link.connectionFor(call)
+	if conn == nil {
+		call.link.queuedReleases = append(call.link.queuedReleases, call.id)
 	} else {
-		call.way.recent = append(call.way.recent, sentRelease{call.id, time.Now()})
-		c.record.Add(Event{Kind: CoreRelease, Call: call.id, Core: c.ID, Controller: call.way.controller})
+		call.link.recentReleases = append(call.link.recentReleases, sentRelease{call.id, time.Now()})
+		c.record.Add(Event{Kind: CoreRelease, Call: call.id, Core: c.ID, Controller: call.link.controller})
 	}
 	c.mu.Unlock()
-	if on != nil {
-		on.send(line{Type: "release", ID: call.id, Cause: 16})
+	if conn != nil {
+		conn.send(coreMessage{Type: "release", ID: call.id, Cause: 16})
 	}
 }
 
-// EndCalls ends all calls that stand, and writes their releases at once: those of a connection's calls in one piece on it.
+// EndCalls ends all standing calls at once. The releases of a connection's calls are sent in a single write.
 func (c *CoreProcess) EndCalls() {
 	c.mu.Lock()
-	if c.dead || c.frozen {
+	if c.ended || c.paused {
 		c.mu.Unlock()
 		return
 	}
-	bursts := map[*coreConn][]byte{}
+	releases := map[*coreConn][]byte{}
 	for _, call := range c.calls {
-		on := call.way.connectionFor(call)
-		if on == nil || !call.stands {
+		conn := call.link.connectionFor(call)
+		if conn == nil || !call.stands {
 			continue
 		}
-		call.way.recent = append(call.way.recent, sentRelease{call.id, time.Now()})
-		c.drop(call) // stops the timer of its own end
-		c.record.Add(Event{Kind: CoreEnd, Call: call.id, Core: c.ID, Controller: call.way.controller, Text: "finished"})
-		c.record.Add(Event{Kind: CoreRelease, Call: call.id, Core: c.ID, Controller: call.way.controller})
-		bursts[on] = append(bursts[on], encode(line{Type: "release", ID: call.id, Cause: 16})...)
+		call.link.recentReleases = append(call.link.recentReleases, sentRelease{call.id, time.Now()})
+		c.removeCall(call) // also stops the timer of its hold time
+		c.record.Add(Event{Kind: CoreEnd, Call: call.id, Core: c.ID, Controller: call.link.controller, Text: "finished"})
+		c.record.Add(Event{Kind: CoreRelease, Call: call.id, Core: c.ID, Controller: call.link.controller})
+		releases[conn] = append(releases[conn], encodeLine(coreMessage{Type: "release", ID: call.id, Cause: 16})...)
 	}
 	c.mu.Unlock()
-	for x, burst := range bursts {
-		x.sendBytes(burst)
+	for conn, lines := range releases {
+		conn.sendBytes(lines)
 	}
 }
 
-// released takes a release from the controller.
-func (c *CoreProcess) released(id string) {
+// handleRelease handles a release from the controller. A set-up without an answer counts as abandoned.
+func (c *CoreProcess) handleRelease(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	call := c.calls[id]
@@ -235,10 +238,10 @@
 		kind = CoreReleased
 	}
 	c.record.Add(Event{Kind: kind, Call: id, Core: c.ID})
-	c.drop(call)
+	c.removeCall(call)
 }
 
-// Standing is how many calls stand.
+// Standing returns the number of standing calls.
 func (c *CoreProcess) Standing() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/faulttrial/core_connections.go
+++ b/internal/faulttrial/core_connections.go
@@ -13,37 +13,40 @@
 	"golang.org/x/sys/unix"
 )
 
-// way is what a core shares with one controller: a listener, its connections and a group of circuits.
-type way struct {
-	core       *CoreProcess
-	controller string
-	listener   *net.TCPListener
-	address    string
-	size, used int
-	conns      map[*coreConn]struct{}
-	queued     []string // releases that wait for a connection
-	recent     []sentRelease
-	fillers    []net.Conn // hold the accept queue full while the core has vanished
-	filled     []net.Conn
-	cut        bool // new connections never come up
-	lateUp     time.Duration
+// controllerLink is a core's interface to one controller: a listener, its connections and a group of circuits. The
+// core's mutex guards it, except for the listener and its address, which don't change.
+type controllerLink struct {
+	core           *CoreProcess
+	controller     string
+	listener       *net.TCPListener
+	address        string
+	size, used     int
+	conns          map[*coreConn]struct{}
+	queuedReleases []string // ids of calls whose releases wait for a connection
+	recentReleases []sentRelease
+	queueFillers   []net.Conn // keep the accept queue full while the core is unreachable
+	unserved       []net.Conn // accepted while the core was paused or unreachable
+	unreachable    bool       // new connections are not established
+	acceptDelay    time.Duration
 }
 
+// sentRelease is a release that was sent and is kept for releaseRepeatPeriod to be repeated.
 type sentRelease struct {
-	call string
-	at   time.Time
+	call   string
+	sentAt time.Time
 }
 
+// coreConn is a connection from the controller to the core.
 type coreConn struct {
 	net.Conn
-	way     *way
-	write   sync.Mutex
-	useless atomic.Bool // a spoilt answer was sent: nothing is read or written any more
-	silent  atomic.Bool // the core has forgotten it
+	link      *controllerLink
+	writeMu   sync.Mutex
+	corrupted atomic.Bool // a malformed answer was sent: nothing more is read or written
+	forgotten atomic.Bool // the core ignores it without having closed it
 }
 
-// line is a message of the core protocol.
-type line struct {
+// coreMessage is a message of the core protocol.
+type coreMessage struct {
 	Type   string         `json:"type"`
 	ID     string         `json:"id"`
 	Fields map[string]any `json:"fields"`
@@ -51,111 +54,121 @@
 	SDP    *string        `json:"sdp,omitempty"`
 }
 
-func (c *CoreProcess) accept(w *way, conn net.Conn) {
+// serveConnection serves a connection until its end, after the accept delay. It first sends the group's state, the
+// queued releases and the recent ones. While the core is paused or unreachable, the connection is kept unserved
+// instead.
+func (c *CoreProcess) serveConnection(link *controllerLink, netConn net.Conn) {
 	c.mu.Lock()
-	if c.dead {
+	if c.ended {
 		c.mu.Unlock()
-		conn.Close()
+		netConn.Close()
 		return
 	}
-	if c.frozen || w.cut {
-		w.filled = append(w.filled, conn)
+	if c.paused || link.unreachable {
+		link.unserved = append(link.unserved, netConn)
 		c.mu.Unlock()
 		return
 	}
-	late := w.lateUp
+	delay := link.acceptDelay
 	c.mu.Unlock()
-	if late > 0 {
-		time.Sleep(late)
+	if delay > 0 {
+		time.Sleep(delay)
 	}
-	if peerClosed(conn) { // given up before it was served
-		conn.Close()
+	if peerClosed(netConn) { // the controller has closed it before it was served
+		netConn.Close()
 		return
 	}
-	x := &coreConn{Conn: conn, way: w}
+	conn := &coreConn{Conn: netConn, link: link}
 	c.mu.Lock()
-	w.conns[x] = struct{}{}
-	state := w.state()
-	queued := w.queued
-	w.queued = nil
-	kept := w.recent[:0]
-	for _, r := range w.recent { // again on each that is opened: one that was closed meanwhile may be accepted before others
-		if time.Since(r.at) < releaseRepeat {
-			queued = append(queued, r.call)
-			kept = append(kept, r)
+	link.conns[conn] = struct{}{}
+	state := link.stateMessage()
+	releases := link.queuedReleases
+	link.queuedReleases = nil
+	kept := link.recentReleases[:0]
+	// Repeat them on each new connection: one that is closed already may be accepted before the others.
+	for _, release := range link.recentReleases {
+		if time.Since(release.sentAt) < releaseRepeatPeriod {
+			releases = append(releases, release.call)
+			kept = append(kept, release)
 		}
 	}
-	w.recent = kept
+	link.recentReleases = kept
 	c.mu.Unlock()
-	x.send(state)
-	for _, call := range queued {
-		c.record.Add(Event{Kind: CoreRelease, Call: call, Core: c.ID, Controller: w.controller})
-		x.send(line{Type: "release", ID: call, Cause: 16})
+	conn.send(state)
+	for _, call := range releases {
+		c.record.Add(Event{Kind: CoreRelease, Call: call, Core: c.ID, Controller: link.controller})
+		conn.send(coreMessage{Type: "release", ID: call, Cause: 16})
 	}
-	x.read()
+	conn.readMessages()
 }
 
-func (w *way) accept(l *net.TCPListener) {
+// acceptConnections accepts connections until the listener is closed or its deadline passes.
+func (link *controllerLink) acceptConnections(listener *net.TCPListener) {
 	for {
-		conn, err := l.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		go w.core.accept(w, conn)
+		go link.core.serveConnection(link, conn)
 	}
 }
 
-// state is the group's state. The lock is held.
-func (w *way) state() line {
-	return line{Type: "state", ID: "0000000000000000", Fields: map[string]any{"load": fmt.Sprintf("x0:%d;x1:%d", w.size-w.used, w.size)}}
+// stateMessage returns the message with the group's free and total circuits. The caller holds the core's mutex.
+func (link *controllerLink) stateMessage() coreMessage {
+	return coreMessage{Type: "state", ID: "0000000000000000", Fields: map[string]any{"load": fmt.Sprintf("x0:%d;x1:%d", link.size-link.used, link.size)}}
 }
 
-// tell sends the group's state on the open connections. The lock is held.
-func (w *way) tell() {
+// sendState sends the group's state on at most maxStateConnections of the open connections, without waiting. The caller
+// holds the core's mutex.
+func (link *controllerLink) sendState() {
 	sent := 0
-	for x := range w.conns {
-		if sent++; sent <= stateConnections {
-			state := w.state()
-			go x.send(state)
+	for conn := range link.conns {
+		if sent++; sent <= maxStateConnections {
+			state := link.stateMessage()
+			go conn.send(state)
 		}
 	}
 }
 
-// encode writes a message as a line.
-func encode(m line) []byte {
+// encodeLine returns a message as a JSON line.
+func encodeLine(m coreMessage) []byte {
 	if m.Fields == nil {
 		m.Fields = map[string]any{}
 	}
-	b, _ := json.Marshal(m) // it has no values that can't be encoded
+	b, _ := json.Marshal(m) // can't fail: the fields are strings
 	return append(b, '\n')
 }
 
-// send writes a message, unless the core is frozen: then it waits.
-func (x *coreConn) send(m line) { x.sendBytes(encode(m)) }
+// send writes a message; while the core is paused it waits. Nothing is written on a corrupted or forgotten connection.
+func (conn *coreConn) send(m coreMessage) { conn.sendBytes(encodeLine(m)) }
 
-func (x *coreConn) sendBytes(b []byte) {
-	x.write.Lock()
-	defer x.write.Unlock()
-	if !x.way.core.waitThaw() || x.useless.Load() || x.silent.Load() {
+// sendBytes writes encoded messages, as send does.
+func (conn *coreConn) sendBytes(b []byte) {
+	conn.writeMu.Lock()
+	defer conn.writeMu.Unlock()
+	if !conn.link.core.waitResumed() || conn.corrupted.Load() || conn.forgotten.Load() {
 		return
 	}
-	if x.way.core.behaviour.Pieces {
-		_ = writePieces(x.Conn, b)
+	if conn.link.core.behaviour.Pieces {
+		_ = writeInPieces(conn.Conn, b)
 		return
 	}
-	_, _ = x.Write(b) // an error is the connection's end, which its reader sees
+	_, _ = conn.Write(b) // the reader detects an error as the connection's end
 }
 
-// usable tells whether what is written on the connection may be read.
-func (x *coreConn) usable() bool { return !x.useless.Load() && !x.silent.Load() && !peerClosed(x.Conn) }
+// usable reports whether the controller may still read what is written on the connection.
+func (conn *coreConn) usable() bool {
+	return !conn.corrupted.Load() && !conn.forgotten.Load() && !peerClosed(conn.Conn)
+}
 
-// peerClosed tells whether the far end has closed a connection, whatever it sent before.
+// peerClosed reports whether the peer has closed a connection, even if data received before the close is still unread.
+// It asks the kernel for the TCP state.
 func peerClosed(conn net.Conn) bool {
-	t, ok := conn.(*net.TCPConn)
+	tcpConn, ok := conn.(*net.TCPConn)
 	if !ok {
 		return false
 	}
-	raw, err := t.SyscallConn()
+	raw, err := tcpConn.SyscallConn()
 	if err != nil {
 		return true
 	}
@@ -167,8 +180,8 @@
 	return closed || err != nil
 }
 
-// writePieces writes in pieces of 1 to 20 bytes.
-func writePieces(conn net.Conn, b []byte) error {
+// writeInPieces writes b in pieces of 1 to 20 bytes.
+func writeInPieces(conn net.Conn, b []byte) error {
 	for len(b) > 0 {
 		n := min(len(b), 1+rand.IntN(20))
 		if _, err := conn.Write(b[:n]); err != nil {
@@ -179,76 +192,76 @@
 	return nil
 }
 
-// read takes a connection's lines to its end.
-func (x *coreConn) read() {
-	c := x.way.core
-	lines := bufio.NewScanner(x)
-	lines.Buffer(nil, maxLine)
-	for lines.Scan() {
-		if !c.waitThaw() {
+// readMessages handles a connection's messages until its end, and then drops the unanswered set-ups that arrived on it.
+func (conn *coreConn) readMessages() {
+	core := conn.link.core
+	scanner := bufio.NewScanner(conn)
+	scanner.Buffer(nil, maxMessageLength)
+	for scanner.Scan() {
+		if !core.waitResumed() {
 			return
 		}
-		var m line
-		if x.useless.Load() || x.silent.Load() {
+		var m coreMessage
+		if conn.corrupted.Load() || conn.forgotten.Load() {
 			continue
 		}
-		if json.Unmarshal(lines.Bytes(), &m) != nil {
+		if json.Unmarshal(scanner.Bytes(), &m) != nil {
 			break
 		}
 		switch m.Type {
 		case "setup":
-			c.setUp(x, m)
+			core.handleSetUp(conn, m)
 		case "release":
-			c.released(m.ID)
+			core.handleRelease(m.ID)
 		}
 	}
-	if !c.waitThaw() {
+	if !core.waitResumed() {
 		return
 	}
-	c.mu.Lock()
-	delete(x.way.conns, x)
-	for id, call := range c.calls {
-		if call.on == x && !call.stands {
-			c.record.Add(Event{Kind: CoreGivenUp, Call: id, Core: c.ID, Text: "connection closed"})
-			c.drop(call)
+	core.mu.Lock()
+	delete(conn.link.conns, conn)
+	for id, call := range core.calls {
+		if call.conn == conn && !call.stands {
+			core.record.Add(Event{Kind: CoreGivenUp, Call: id, Core: core.ID, Text: "connection closed"})
+			core.removeCall(call)
 		}
 	}
-	c.mu.Unlock()
-	if !x.silent.Load() && !x.useless.Load() {
-		x.Close()
+	core.mu.Unlock()
+	if !conn.forgotten.Load() && !conn.corrupted.Load() {
+		conn.Close()
 	}
 }
 
-// spoil sends an answer that can't be read, after which the connection is of no use.
-func (x *coreConn) spoil() {
-	x.write.Lock()
-	defer x.write.Unlock()
-	if !x.useless.Load() {
-		_, _ = x.Write([]byte("{\"type\":\"answer\",\"id\":\"nonsense\n"))
+// sendMalformed sends an answer that can't be parsed. Nothing is read or written on the connection afterwards.
+func (conn *coreConn) sendMalformed() {
+	conn.writeMu.Lock()
+	defer conn.writeMu.Unlock()
+	if !conn.corrupted.Load() {
+		_, _ = conn.Write([]byte("{\"type\":\"answer\",\"id\":\"nonsense\n"))
 	}
-	x.useless.Store(true)
+	conn.corrupted.Store(true)
 }
 
-// breakOff sends the first bytes of an answer and resets the connection.
-func (x *coreConn) breakOff(call string) {
-	x.write.Lock()
-	defer x.write.Unlock()
-	if !x.useless.Load() && !x.silent.Load() {
-		_, _ = x.Write([]byte(`{"type":"answer","id":"` + call)) // an error is the connection's end, which its reader sees
-		_ = x.Conn.(*net.TCPConn).SetLinger(0)
-		x.Close()
+// sendTruncated sends the first bytes of an answer and resets the connection.
+func (conn *coreConn) sendTruncated(call string) {
+	conn.writeMu.Lock()
+	defer conn.writeMu.Unlock()
+	if !conn.corrupted.Load() && !conn.forgotten.Load() {
+		_, _ = conn.Write([]byte(`{"type":"answer","id":"` + call)) // the reader detects an error as the connection's end
+		_ = conn.Conn.(*net.TCPConn).SetLinger(0)
+		conn.Close()
 	}
 }
 
-// connectionFor is the connection that a core sends on what concerns a call: that of its set-up, or else any open one. The
-// lock is held.
-func (w *way) connectionFor(call *coreCall) *coreConn {
-	if _, open := w.conns[call.on]; open && call.on.usable() {
-		return call.on
+// connectionFor returns the connection for messages on a call: that of its set-up or, if it is no longer usable, any
+// other; nil without a usable connection. The caller holds the core's mutex.
+func (link *controllerLink) connectionFor(call *coreCall) *coreConn {
+	if _, open := link.conns[call.conn]; open && call.conn.usable() {
+		return call.conn
 	}
-	for x := range w.conns {
-		if x.usable() {
-			return x
+	for conn := range link.conns {
+		if conn.usable() {
+			return conn
 		}
 	}
 	return nil
--- a/internal/faulttrial/core_faults.go
+++ b/internal/faulttrial/core_faults.go
@@ -7,234 +7,238 @@
 	"time"
 )
 
-// waitThaw returns once the core is not frozen, and tells whether it is alive.
-func (c *CoreProcess) waitThaw() bool {
+// waitResumed waits while the core is paused, and reports whether it is still running.
+func (c *CoreProcess) waitResumed() bool {
 	for {
 		c.mu.Lock()
-		thaw, frozen, dead := c.thaw, c.frozen, c.dead
+		resumed, paused, ended := c.resumed, c.paused, c.ended
 		c.mu.Unlock()
-		if dead {
+		if ended {
 			return false
 		}
-		if !frozen {
+		if !paused {
 			return true
 		}
-		<-thaw
+		<-resumed
 	}
 }
 
-// Hang stops the process in the middle of its work: connections come up in the kernel, and nothing is read or written.
+// Hang simulates a process that hangs: the kernel still accepts connections, but nothing is read or written. Restore
+// ends it.
 func (c *CoreProcess) Hang() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.freeze()
+	c.pause()
 	c.record.Add(Event{Kind: Fault, Core: c.ID, Text: "hang"})
 }
 
-func (c *CoreProcess) freeze() {
-	if !c.frozen {
-		c.frozen, c.thaw = true, make(chan struct{})
+// pause stops reading and writing. The caller holds c.mu.
+func (c *CoreProcess) pause() {
+	if !c.paused {
+		c.paused, c.resumed = true, make(chan struct{})
 	}
 }
 
-// CutOff takes the machine off the network: open connections stay open and silent, new ones never come up. Calls go
-// on, and those that end are released after Return.
+// CutOff simulates a machine that loses its network: open connections stay open without any traffic, and new ones are
+// not established. Calls continue, and the releases of those that end are sent after Restore.
 func (c *CoreProcess) CutOff() {
 	c.mu.Lock()
-	c.freeze()
+	c.pause()
 	c.record.Add(Event{Kind: Fault, Core: c.ID, Text: "cut off"})
 	c.mu.Unlock()
-	for _, w := range c.ways {
-		w.fill()
+	for _, link := range c.links {
+		link.fillAcceptQueue()
 	}
 }
 
-// Vanish takes the machine away for good, and its calls with it.
+// Vanish simulates a machine that fails permanently: as CutOff, and its calls end.
 func (c *CoreProcess) Vanish() {
 	c.CutOff()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.endAll("vanished")
+	c.cutCalls("vanished")
 }
 
-// endAll ends the calls. The lock is held.
-func (c *CoreProcess) endAll(how string) {
+// cutCalls ends all calls without sending anything; how is the text of their events. The caller holds c.mu.
+func (c *CoreProcess) cutCalls(how string) {
 	for id, call := range c.calls {
 		if call.stands {
-			c.record.Add(Event{Kind: CoreEnd, Call: id, Core: c.ID, Controller: call.way.controller, Text: how})
+			c.record.Add(Event{Kind: CoreEnd, Call: id, Core: c.ID, Controller: call.link.controller, Text: how})
 		} else {
 			c.record.Add(Event{Kind: CoreGivenUp, Call: id, Core: c.ID, Text: how})
 		}
 		call.timer.Stop()
 		delete(c.calls, id)
-		call.way.used--
+		call.link.used--
 	}
 }
 
-// Return brings a core back that hung or was cut off.
-func (c *CoreProcess) Return() {
-	for _, w := range c.ways {
-		w.empty()
+// Restore ends Hang or CutOff: calls whose hold time has passed end, and the connections accepted meanwhile are served.
+func (c *CoreProcess) Restore() {
+	for _, link := range c.links {
+		link.emptyAcceptQueue()
 	}
 	c.mu.Lock()
 	c.record.Add(Event{Kind: Fault, Core: c.ID, Text: "back"})
-	if c.frozen {
-		c.frozen = false
-		close(c.thaw)
+	if c.paused {
+		c.paused = false
+		close(c.resumed)
 	}
-	var due []*coreCall
+	var pending []*coreCall
 	for _, call := range c.calls {
-		if call.due {
-			due = append(due, call)
+		if call.endPending {
+			pending = append(pending, call)
 		}
 	}
-	var waiting []net.Conn
-	var on []*way
-	for _, w := range c.ways {
-		for _, conn := range w.filled {
-			waiting, on = append(waiting, conn), append(on, w)
+	var unserved []net.Conn
+	var links []*controllerLink
+	for _, link := range c.links {
+		for _, conn := range link.unserved {
+			unserved, links = append(unserved, conn), append(links, link)
 		}
-		w.filled = nil
+		link.unserved = nil
 	}
 	c.mu.Unlock()
-	for _, call := range due {
+	for _, call := range pending {
 		c.finish(call)
 	}
-	for i, conn := range waiting {
-		go c.accept(on[i], conn)
+	for i, conn := range unserved {
+		go c.serveConnection(links[i], conn)
 	}
 }
 
-// Crash ends the process: its connections are reset, its port refuses, its calls are cut.
+// Crash simulates the end of the process: its connections are reset, its ports refuse connections and its calls end.
 func (c *CoreProcess) Crash() {
-	c.end("crashed", true)
+	c.terminate("crashed", true)
 }
 
-// Abandon frees the address of a core that has vanished, so that another may listen there. Its open connections stay
-// open and silent.
-func (c *CoreProcess) Abandon() {
+// FreeAddresses closes the listeners of a core that has vanished, so that another core can listen there. Open
+// connections stay open without any traffic.
+func (c *CoreProcess) FreeAddresses() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, w := range c.ways {
-		w.listener.Close()
-		for _, conn := range w.fillers {
+	for _, link := range c.links {
+		link.listener.Close()
+		for _, conn := range link.queueFillers {
 			conn.Close()
 		}
-		w.fillers = nil
+		link.queueFillers = nil
 	}
 }
 
-// end takes the process away.
-func (c *CoreProcess) end(how string, reset bool) {
+// terminate ends the process. With reset, its connections end with a RST instead of a FIN.
+func (c *CoreProcess) terminate(how string, reset bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.dead {
+	if c.ended {
 		return
 	}
 	c.record.Add(Event{Kind: Fault, Core: c.ID, Text: how})
-	c.endAll(how)
-	c.dead = true
-	if c.frozen {
-		c.frozen = false
-		close(c.thaw)
-	}
-	for _, w := range c.ways {
-		w.listener.Close()
-		for _, conn := range append(w.filled, w.fillers...) {
+	c.cutCalls(how)
+	c.ended = true
+	if c.paused {
+		c.paused = false
+		close(c.resumed)
+	}
+	for _, link := range c.links {
+		link.listener.Close()
+		for _, conn := range append(link.unserved, link.queueFillers...) {
 			conn.Close()
 		}
-		for x := range w.conns {
-			if t, ok := x.Conn.(*net.TCPConn); ok && reset {
-				_ = t.SetLinger(0)
+		for conn := range link.conns {
+			if tcpConn, ok := conn.Conn.(*net.TCPConn); ok && reset {
+				_ = tcpConn.SetLinger(0)
 			}
-			x.Close()
+			conn.Close()
 		}
 	}
 }
 
-// Disturb closes, resets or forgets the connections on which no set-up is open.
-func (c *CoreProcess) Disturb(how string) {
+// DropIdleConnections closes ("close"), resets ("reset") or ignores without closing ("forget") the connections that
+// have no set-up in progress. Calls may stand on them.
+func (c *CoreProcess) DropIdleConnections(how string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.frozen || c.dead {
-		return // it does nothing
+	if c.paused || c.ended {
+		return // such a core acts on nothing
 	}
 	c.record.Add(Event{Kind: Fault, Core: c.ID, Text: how + " idle connections"})
 	busy := map[*coreConn]bool{}
 	for _, call := range c.calls {
 		if !call.stands {
-			busy[call.on] = true
+			busy[call.conn] = true
 		}
 	}
-	for _, w := range c.ways {
-		for x := range w.conns {
-			if busy[x] {
+	for _, link := range c.links {
+		for conn := range link.conns {
+			if busy[conn] {
 				continue
 			}
 			switch how {
 			case "forget":
-				x.silent.Store(true)
-				delete(w.conns, x)
+				conn.forgotten.Store(true)
+				delete(link.conns, conn)
 			case "reset":
-				_ = x.Conn.(*net.TCPConn).SetLinger(0)
-				x.Close()
+				_ = conn.Conn.(*net.TCPConn).SetLinger(0)
+				conn.Close()
 			default:
-				x.Close()
+				conn.Close()
 			}
 		}
 	}
 }
 
-// SetLateUp has new connections be served so much later.
-func (c *CoreProcess) SetLateUp(late time.Duration) {
+// SetAcceptDelay sets the time after which a new connection is served.
+func (c *CoreProcess) SetAcceptDelay(delay time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.record.Add(Event{Kind: Fault, Core: c.ID, Text: fmt.Sprintf("connections come up %v late", late)})
-	for _, w := range c.ways {
-		w.lateUp = late
+	c.record.Add(Event{Kind: Fault, Core: c.ID, Text: fmt.Sprintf("connections come up %v late", delay)})
+	for _, link := range c.links {
+		link.acceptDelay = delay
 	}
 }
 
-// setBacklog changes the length of a listener's accept queue.
-func setBacklog(l *net.TCPListener, n int) {
-	raw, err := l.SyscallConn()
+// setBacklog sets the length of a listener's accept queue.
+func setBacklog(listener *net.TCPListener, length int) {
+	raw, err := listener.SyscallConn()
 	if err != nil {
 		return
 	}
-	_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), n) })
+	_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), length) })
 }
 
-// fill has new connections never come up: the accept queue is as short as may be, and full.
-func (w *way) fill() {
-	w.core.mu.Lock()
-	w.cut = true
-	w.core.mu.Unlock()
-	_ = w.listener.SetDeadline(time.Now()) // ends the accepting
-	setBacklog(w.listener, 0)
+// fillAcceptQueue prevents new connections: it sets the accept queue to its minimum length and fills it, so that the
+// kernel drops further SYNs.
+func (link *controllerLink) fillAcceptQueue() {
+	link.core.mu.Lock()
+	link.unreachable = true
+	link.core.mu.Unlock()
+	_ = link.listener.SetDeadline(time.Now()) // makes acceptConnections return
+	setBacklog(link.listener, 0)
 	for range 8 {
-		conn, err := net.DialTimeout("tcp", w.address, 30*time.Millisecond)
+		conn, err := net.DialTimeout("tcp", link.address, 30*time.Millisecond)
 		if err != nil {
 			break
 		}
-		w.core.mu.Lock()
-		w.fillers = append(w.fillers, conn)
-		w.core.mu.Unlock()
+		link.core.mu.Lock()
+		link.queueFillers = append(link.queueFillers, conn)
+		link.core.mu.Unlock()
 	}
 }
 
-// empty has new connections come up again.
-func (w *way) empty() {
-	w.core.mu.Lock()
-	cut, fillers := w.cut, w.fillers
-	w.cut, w.fillers = false, nil
-	w.core.mu.Unlock()
-	if !cut {
+// emptyAcceptQueue reverts fillAcceptQueue: new connections are accepted again.
+func (link *controllerLink) emptyAcceptQueue() {
+	link.core.mu.Lock()
+	unreachable, fillers := link.unreachable, link.queueFillers
+	link.unreachable, link.queueFillers = false, nil
+	link.core.mu.Unlock()
+	if !unreachable {
 		return
 	}
-	setBacklog(w.listener, syscall.SOMAXCONN)
+	setBacklog(link.listener, syscall.SOMAXCONN)
 	for _, conn := range fillers {
 		conn.Close()
 	}
-	_ = w.listener.SetDeadline(time.Time{})
-	go w.accept(w.listener)
+	_ = link.listener.SetDeadline(time.Time{})
+	go link.acceptConnections(link.listener)
 }
--- a/internal/faulttrial/discovery.go
+++ b/internal/faulttrial/discovery.go
@@ -13,90 +13,93 @@
 )
 
 const (
-	serviceName   = "_app._tcp.cluster.lan."
-	crowdPatience = 4 * time.Second // a question that has waited longer in a crowded service is dropped
-	crowdQueue    = 256
+	serviceName      = "_app._tcp.cluster.lan."
+	maxQueryAge      = 4 * time.Second // in mode Crowded, a query that has waited longer is dropped
+	maxQueuedQueries = 256
 )
 
-// State is what the list says of a core.
-type State string
+// MemberState is the state of a core in the membership list.
+type MemberState string
 
-// The states of a listed core.
+// The states of a core. Gone removes it from the list.
 const (
-	Ready    State = "ready"
-	Draining State = "draining"
-	Gone     State = "gone"
+	Ready    MemberState = "ready"
+	Draining MemberState = "draining"
+	Gone     MemberState = "gone"
 )
 
-// Member is a line of the list.
+// Member is an entry of the membership list.
 type Member struct {
 	ID        string
 	Number    int
-	State     State
+	State     MemberState
 	Addresses map[string]string // by controller
-	Started   time.Time         // zero for long ago
+	Started   time.Time         // zero: started long before the trial
 }
 
-// DiscoveryMode is how discovery behaves.
+// DiscoveryMode is a mode of operation of discovery: normal or one of its faults.
 type DiscoveryMode string
 
 // The modes of discovery.
 const (
-	Prompt  DiscoveryMode = "prompt"
-	Silent  DiscoveryMode = "silent"  // nothing is answered
+	Prompt  DiscoveryMode = "prompt"  // queries are answered at once
+	Silent  DiscoveryMode = "silent"  // queries are not answered
 	Refused DiscoveryMode = "refused" // the port is closed
-	Slow    DiscoveryMode = "slow"    // each answer comes Delay late
-	Crowded DiscoveryMode = "crowded" // one question after another, Delay each, for all controllers together
-	Failing DiscoveryMode = "failing" // answers report a failure
-	Short   DiscoveryMode = "short"   // answers are cut short
-	WrongID DiscoveryMode = "wrong"   // answers come under another id
-	Older   DiscoveryMode = "older"   // answers hold an older list
-	Lossy   DiscoveryMode = "lossy"   // every other answer is lost
+	Slow    DiscoveryMode = "slow"    // each answer is sent after the delay given to SetMode
+	Crowded DiscoveryMode = "crowded" // the queries of all controllers share a queue; each takes the delay given to SetMode
+	Failing DiscoveryMode = "failing" // answers have the response code SERVFAIL
+	Short   DiscoveryMode = "short"   // answers are truncated to half their length
+	WrongID DiscoveryMode = "wrong"   // answers have a wrong message id
+	Older   DiscoveryMode = "older"   // answers have the list before its last change
+	Lossy   DiscoveryMode = "lossy"   // every other query is not answered
 )
 
-// Discovery is a stand-in for discovery: DNS over UDP, an address for each controller. Use NewDiscovery.
+// Discovery is a stand-in for the discovery service: a DNS server over UDP with a separate address for each controller.
+// Create it with NewDiscovery. Its methods are safe for concurrent use.
 type Discovery struct {
 	record *Recorder
 	host   string
 
-	mu      sync.Mutex
-	serial  uint32
-	members map[string]Member
-	before  map[string]Member // the list before the last change
-	mode    DiscoveryMode
-	delay   time.Duration
-	sockets map[string]net.PacketConn
-	crowd   chan question
-	asked   int
-	closed  bool
+	mu         sync.Mutex
+	serial     uint32
+	members    map[string]Member
+	previous   map[string]Member // the members before the last change
+	mode       DiscoveryMode
+	delay      time.Duration
+	sockets    map[string]net.PacketConn
+	queue      chan query
+	queryCount int
+	closed     bool
 }
 
-type question struct {
+// query is a received DNS query.
+type query struct {
 	controller string
-	number     [2]byte
-	from       net.Addr
+	id         [2]byte
+	client     net.Addr
 	socket     net.PacketConn
-	at         time.Time
+	receivedAt time.Time
 }
 
-// NewDiscovery returns a Discovery for these controllers with serial 1, at ports of the host.
+// NewDiscovery starts a Discovery that serves the controllers at free ports of the host. Its list has serial 1.
 func NewDiscovery(host string, controllers []string, members []Member, record *Recorder) (*Discovery, error) {
 	d := &Discovery{host: host, record: record, serial: 1, members: map[string]Member{}, mode: Prompt, sockets: map[string]net.PacketConn{},
-		crowd: make(chan question, crowdQueue)}
+		queue: make(chan query, maxQueuedQueries)}
 	for _, m := range members {
 		d.members[m.ID] = m
 	}
-	d.before = d.copyMembers()
+	d.previous = d.copyMembers()
 	for _, name := range controllers {
 		if err := d.listen(name, net.JoinHostPort(host, "0")); err != nil {
 			d.Close()
 			return nil, err
 		}
 	}
-	go d.serveCrowd()
+	go d.serveQueue()
 	return d, nil
 }
 
+// listen opens the socket of a controller and serves it.
 func (d *Discovery) listen(controller, address string) error {
 	socket, err := net.ListenPacket("udp", address)
 	if err != nil {
@@ -109,20 +112,20 @@
 	return nil
 }
 
-// Address is where a controller asks.
+// Address returns the address that a controller queries.
 func (d *Discovery) Address(controller string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.sockets[controller].LocalAddr().String()
 }
 
-// Move gives a controller another address to ask at; the old one answers no more.
+// Move changes the address for a controller and closes the former one. In mode Refused it does nothing.
 func (d *Discovery) Move(controller string) error {
 	d.mu.Lock()
 	old, refused := d.sockets[controller], d.mode == Refused
 	d.mu.Unlock()
 	if refused {
-		return nil // nothing listens anywhere
+		return nil // no address is open
 	}
 	if err := d.listen(controller, net.JoinHostPort(d.host, "0")); err != nil {
 		return err
@@ -130,27 +133,28 @@
 	return old.Close()
 }
 
-// Asked is how many questions have come.
-func (d *Discovery) Asked() int {
+// QueryCount returns the number of queries received.
+func (d *Discovery) QueryCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.asked
+	return d.queryCount
 }
 
-// Serial is the number of the last change.
+// Serial returns the serial of the list, which each change increments.
 func (d *Discovery) Serial() uint32 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.serial
 }
 
-// Set changes a line of the list.
+// Set adds or replaces an entry of the list, or removes it if its state is Gone. A zero start time leaves that of a
+// listed member as it is.
 func (d *Discovery) Set(m Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.before = d.copyMembers()
-	if was, listed := d.members[m.ID]; listed && m.Started.IsZero() {
-		m.Started = was.Started
+	d.previous = d.copyMembers()
+	if current, listed := d.members[m.ID]; listed && m.Started.IsZero() {
+		m.Started = current.Started
 	}
 	if m.State == Gone {
 		delete(d.members, m.ID)
@@ -161,6 +165,7 @@
 	d.record.Add(Event{Kind: DiscoverySet, Core: m.ID, Serial: d.serial, Text: string(m.State)})
 }
 
+// copyMembers returns a copy of the list. The caller holds d.mu, unless d is not shared yet.
 func (d *Discovery) copyMembers() map[string]Member {
 	out := map[string]Member{}
 	for id, m := range d.members {
@@ -169,21 +174,22 @@
 	return out
 }
 
-// SetMode changes how discovery behaves.
+// SetMode changes the mode, and the delay that Slow and Crowded use. Refused closes the sockets; leaving it opens them
+// again at the same addresses.
 func (d *Discovery) SetMode(mode DiscoveryMode, delay time.Duration) error {
 	d.mu.Lock()
-	was := d.mode
+	previous := d.mode
 	d.mode, d.delay = mode, delay
 	addresses := map[string]string{}
 	for name, socket := range d.sockets {
 		addresses[name] = socket.LocalAddr().String()
-		if mode == Refused && was != Refused {
+		if mode == Refused && previous != Refused {
 			socket.Close()
 		}
 	}
 	d.record.Add(Event{Kind: DiscoveryFault, Text: fmt.Sprintf("%s %v", mode, delay)})
 	d.mu.Unlock()
-	if was == Refused && mode != Refused {
+	if previous == Refused && mode != Refused {
 		for name, address := range addresses {
 			if err := d.listen(name, address); err != nil {
 				return err
@@ -193,7 +199,7 @@
 	return nil
 }
 
-// Close ends it.
+// Close closes the sockets. It may be called more than once.
 func (d *Discovery) Close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -204,9 +210,10 @@
 	for _, socket := range d.sockets {
 		socket.Close()
 	}
-	close(d.crowd)
+	close(d.queue)
 }
 
+// serve answers the queries of a controller, as the mode says, until the socket is closed.
 func (d *Discovery) serve(controller string, socket net.PacketConn) {
 	buf := make([]byte, 512)
 	for {
@@ -218,18 +225,18 @@
 			continue
 		}
 		d.mu.Lock()
-		d.asked++
-		mode, delay, asked, closed := d.mode, d.delay, d.asked, d.closed
-		q := question{controller, [2]byte(buf[:2]), from, socket, time.Now()}
+		d.queryCount++
+		mode, delay, queryCount, closed := d.mode, d.delay, d.queryCount, d.closed
+		q := query{controller, [2]byte(buf[:2]), from, socket, time.Now()}
 		if mode == Crowded && !closed {
 			select {
-			case d.crowd <- q:
-			default: // no room: dropped
+			case d.queue <- q:
+			default: // the queue is full: dropped
 			}
 		}
 		d.mu.Unlock()
 		switch {
-		case mode == Silent, mode == Crowded, mode == Lossy && asked%2 == 0:
+		case mode == Silent, mode == Crowded, mode == Lossy && queryCount%2 == 0:
 		case mode == Slow:
 			time.AfterFunc(delay, func() { d.answer(q, mode) })
 		default:
@@ -238,13 +245,13 @@
 	}
 }
 
-// serveCrowd answers one question after another.
-func (d *Discovery) serveCrowd() {
-	for q := range d.crowd {
+// serveQueue answers the queries of mode Crowded one after another.
+func (d *Discovery) serveQueue() {
+	for q := range d.queue {
 		d.mu.Lock()
 		delay := d.delay
 		d.mu.Unlock()
-		if time.Since(q.at) > crowdPatience {
+		if time.Since(q.receivedAt) > maxQueryAge {
 			continue
 		}
 		time.Sleep(delay)
@@ -252,74 +259,77 @@
 	}
 }
 
-func (d *Discovery) answer(q question, mode DiscoveryMode) {
+// answer sends the answer to a query. Only answers that a controller can use are recorded.
+func (d *Discovery) answer(q query, mode DiscoveryMode) {
 	d.mu.Lock()
 	serial, members := d.serial, d.members
 	if mode == Older {
-		serial, members = d.serial-1, d.before
+		serial, members = d.serial-1, d.previous
 	}
-	packet, err := listAnswer(q.controller, serial, members, mode)
+	packet, err := buildAnswer(q.controller, serial, members, mode)
 	d.mu.Unlock()
 	if err != nil {
-		panic(err) // the list is the package's own
+		panic(err) // the list is built by this package
 	}
-	copy(packet, q.number[:])
+	copy(packet, q.id[:])
 	if mode == WrongID {
 		packet[0] ^= 0x55
 	}
 	if mode == Short {
 		packet = packet[:len(packet)/2]
 	}
-	good := mode == Prompt || mode == Slow || mode == Lossy
-	if good {
+	correct := mode == Prompt || mode == Slow || mode == Lossy
+	if correct {
 		d.record.Add(Event{Kind: DiscoverySent, Controller: q.controller, Serial: serial})
 	}
-	_, _ = q.socket.WriteTo(packet, q.from) // the controller may have ended
+	_, _ = q.socket.WriteTo(packet, q.client) // the controller may have ended
 }
 
-// listAnswer writes the whole list as a controller is to see it.
-func listAnswer(controller string, serial uint32, members map[string]Member, mode DiscoveryMode) ([]byte, error) {
+// buildAnswer returns a DNS answer with the whole list: SRV, A and TXT records with the addresses for the controller,
+// and the serial in an SOA record.
+func buildAnswer(controller string, serial uint32, members map[string]Member, mode DiscoveryMode) ([]byte, error) {
 	class, service := dnsmessage.ClassINET, dnsmessage.MustNewName(serviceName)
-	m := dnsmessage.Message{Header: dnsmessage.Header{Response: true, Authoritative: true}}
+	message := dnsmessage.Message{Header: dnsmessage.Header{Response: true, Authoritative: true}}
 	if mode == Failing {
-		m.RCode = dnsmessage.RCodeServerFailure
+		message.RCode = dnsmessage.RCodeServerFailure
 	}
-	m.Questions = []dnsmessage.Question{{Name: service, Type: dnsmessage.TypeSRV, Class: class}}
-	m.Authorities = []dnsmessage.Resource{{Header: dnsmessage.ResourceHeader{Name: service, Class: class},
+	message.Questions = []dnsmessage.Question{{Name: service, Type: dnsmessage.TypeSRV, Class: class}}
+	message.Authorities = []dnsmessage.Resource{{Header: dnsmessage.ResourceHeader{Name: service, Class: class},
 		Body: &dnsmessage.SOAResource{NS: service, MBox: service, Serial: serial}}}
-	for _, x := range members {
-		host, port, err := net.SplitHostPort(x.Addresses[controller])
+	for _, member := range members {
+		host, port, err := net.SplitHostPort(member.Addresses[controller])
 		if err != nil {
-			return nil, fmt.Errorf("faulttrial: address of %s: %w", x.ID, err)
+			return nil, fmt.Errorf("faulttrial: address of %s: %w", member.ID, err)
 		}
-		number, err := strconv.ParseUint(port, 10, 16)
+		portNumber, err := strconv.ParseUint(port, 10, 16)
 		if err != nil {
-			return nil, fmt.Errorf("faulttrial: address of %s: %w", x.ID, err)
+			return nil, fmt.Errorf("faulttrial: address of %s: %w", member.ID, err)
 		}
-		name := dnsmessage.MustNewName(x.ID + ".east.hosts.")
+		name := dnsmessage.MustNewName(member.ID + ".east.hosts.")
 		priority, started := uint16(0), int64(0)
-		if x.State == Draining {
+		if member.State == Draining {
 			priority = 1
 		}
-		if !x.Started.IsZero() {
-			started = x.Started.UnixMilli()
+		if !member.Started.IsZero() {
+			started = member.Started.UnixMilli()
 		}
-		m.Answers = append(m.Answers, dnsmessage.Resource{Header: dnsmessage.ResourceHeader{Name: service, Class: class},
-			Body: &dnsmessage.SRVResource{Priority: priority, Weight: 10, Port: uint16(number), Target: name}})
-		m.Additionals = append(m.Additionals,
+		message.Answers = append(message.Answers, dnsmessage.Resource{Header: dnsmessage.ResourceHeader{Name: service, Class: class},
+			Body: &dnsmessage.SRVResource{Priority: priority, Weight: 10, Port: uint16(portNumber), Target: name}})
+		message.Additionals = append(message.Additionals,
 			dnsmessage.Resource{Header: dnsmessage.ResourceHeader{Name: name, Class: class},
 				Body: &dnsmessage.AResource{A: [4]byte(net.ParseIP(host).To4())}},
 			dnsmessage.Resource{Header: dnsmessage.ResourceHeader{Name: name, Class: class},
-				Body: &dnsmessage.TXTResource{TXT: []string{"kind=std", fmt.Sprintf("cell=%d", x.Number), fmt.Sprintf("started=%d", started)}}})
+				Body: &dnsmessage.TXTResource{TXT: []string{"kind=std", fmt.Sprintf("cell=%d", member.Number), fmt.Sprintf("started=%d", started)}}})
 	}
-	return m.Pack()
+	return message.Pack()
 }
 
-// Known is the list of the start as a controller's configuration holds it.
-func (d *Discovery) Known(controller string) string {
+// KnownMembers returns the present list as JSON in the form of a controller's configuration, which uses it at its
+// start.
+func (d *Discovery) KnownMembers(controller string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var lines []string
+	var entries []string
 	for _, m := range d.members {
 		phase := "Ready"
 		if m.State == Draining {
@@ -329,16 +339,16 @@
 		if !m.Started.IsZero() {
 			started = m.Started.UnixMilli()
 		}
-		lines = append(lines, fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"east","flavor":"std","cell":%d,"phase":%q,"size":1,"up_since_ms":%d}`,
+		entries = append(entries, fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"east","flavor":"std","cell":%d,"phase":%q,"size":1,"up_since_ms":%d}`,
 			m.ID, m.Addresses[controller], m.Number, phase, started))
 	}
-	slices.Sort(lines)
+	slices.Sort(entries)
 	return fmt.Sprintf(`{"rev":%d,"notices":[{"rev":%d,"pool":{"revision":%d,"complete":true,"members":[%s]}}]}`,
-		d.serial, d.serial, d.serial, strings.Join(lines, ","))
+		d.serial, d.serial, d.serial, strings.Join(entries, ","))
 }
 
-// Lists tells whether a core is on the list.
-func (d *Discovery) Lists(id string) bool {
+// Listed reports whether a core is on the list.
+func (d *Discovery) Listed(id string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	_, ok := d.members[id]
--- a/internal/faulttrial/faulty_test.go
+++ b/internal/faulttrial/faulty_test.go
@@ -16,7 +16,7 @@
 	plan := Plan{Seed: 1, Length: 6 * time.Second, Controllers: 1, Cores: 2, Circuits: 60,
 		Settings: Settings{ConnectTimeout: 500 * time.Millisecond, MaxAttempts: 3, Memory: 192, Descriptors: 1024,
 			Classes: []Class{{Name: "page", Aim: time.Second, Deadline: 2 * time.Second, Hold: 4 * time.Second}}},
-		Core:    Behaviour{Work: 5 * time.Millisecond, Hold: 4 * time.Second},
+		Core:    CoreBehaviour{Work: 5 * time.Millisecond, Hold: 4 * time.Second},
 		Callers: CallerBehaviour{Rate: 15, Connections: 3, Acknowledge: true}}
 	for _, play := range []struct {
 		fault string
--- a/internal/faulttrial/incident_test.go
+++ b/internal/faulttrial/incident_test.go
@@ -55,7 +55,7 @@
 	c := LabConfig{Program: program, Dir: t.TempDir(), Seed: 1, Controllers: 1, Cores: 2, Circuits: 100,
 		Settings: Settings{ConnectTimeout: 500 * time.Millisecond, MaxAttempts: 3, Memory: 192, Descriptors: 1024,
 			Classes: []Class{{Name: "page", Aim: time.Second, Deadline: 2 * time.Second, Hold: time.Minute}}},
-		Core:    Behaviour{Work: 5 * time.Millisecond, Hold: time.Minute},
+		Core:    CoreBehaviour{Work: 5 * time.Millisecond, Hold: time.Minute},
 		Callers: CallerBehaviour{Rate: 20, Connections: 3, Acknowledge: true, StopAt: time.Hour}}
 	if change != nil {
 		change(&c)
@@ -142,16 +142,16 @@
 		"cut off": func(l *Lab) {
 			l.Core(1).CutOff()
 			time.Sleep(5500 * time.Millisecond)
-			l.Core(1).Return()
+			l.Core(1).Restore()
 		},
 		"hung": func(l *Lab) {
 			l.Core(1).Hang()
 			time.Sleep(5500 * time.Millisecond)
-			l.Core(1).Return()
+			l.Core(1).Restore()
 		},
-		"closes":  func(l *Lab) { l.Core(1).Disturb("close") },
-		"resets":  func(l *Lab) { l.Core(1).Disturb("reset") },
-		"forgets": func(l *Lab) { l.Core(1).Disturb("forget") },
+		"closes":  func(l *Lab) { l.Core(1).DropIdleConnections("close") },
+		"resets":  func(l *Lab) { l.Core(1).DropIdleConnections("reset") },
+		"forgets": func(l *Lab) { l.Core(1).DropIdleConnections("forget") },
 	} {
 		for _, busy := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, busy %v", name, busy), func(t *testing.T) {
@@ -233,7 +233,7 @@
 		},
 		"discovery down": func(t *testing.T, l *Lab) { require.NoError(t, l.Discovery.SetMode(Refused, 0)) },
 		"core vanishes":  func(_ *testing.T, l *Lab) { l.Core(1).Vanish() },
-		"core hangs":     func(_ *testing.T, l *Lab) { l.Core(1).Hang(); time.Sleep(2 * time.Second); l.Core(1).Return() },
+		"core hangs":     func(_ *testing.T, l *Lab) { l.Core(1).Hang(); time.Sleep(2 * time.Second); l.Core(1).Restore() },
 		"core crashes":   func(_ *testing.T, l *Lab) { l.Core(1).Crash() },
 		"configuration": func(t *testing.T, l *Lab) {
 			require.NoError(t, l.Discovery.Move("n1"))
@@ -248,10 +248,10 @@
 			time.Sleep(1500 * time.Millisecond)
 			l.Controller(0).Signal(syscall.SIGTERM)
 			time.Sleep(100 * time.Millisecond)
-			l.Callers(0).Pause(true) // no new connections; those that are open stay in use
+			l.Callers(0).SetConnectingStopped(true) // no new connections; those that are open stay in use
 			during(t, l)
 			time.Sleep(2500 * time.Millisecond)
-			l.Callers(0).Stop(true)
+			l.Callers(0).SetSendingStopped(true)
 			select {
 			case <-l.Controller(0).Exited():
 			case <-time.After(14 * time.Second):
@@ -318,7 +318,7 @@
 				l := newTestLab(t, func(c *LabConfig) { change(&c.Callers) })
 				standOn(t, l, 12)
 				l.Controller(0).Signal(syscall.SIGTERM)
-				l.Callers(0).Pause(true)
+				l.Callers(0).SetConnectingStopped(true)
 				time.Sleep(1500 * time.Millisecond)
 				l.Core(1).EndCalls()
 				l.Core(2).EndCalls()
--- a/internal/faulttrial/lab.go
+++ b/internal/faulttrial/lab.go
@@ -22,7 +22,7 @@
 	names       []string // of the controllers
 	controllers []*Controller
 	callers     []*Callers
-	behaviour   Behaviour
+	behaviour   CoreBehaviour
 	circuits    int
 	seed        uint64
 
@@ -42,7 +42,7 @@
 	Cores       int
 	Circuits    int // of each group
 	Settings    Settings
-	Core        Behaviour
+	Core        CoreBehaviour
 	Callers     CallerBehaviour
 }
 
@@ -127,7 +127,7 @@
 // Replace starts another process in an exchange's place, at the same address. Unless sameID, it has a new id.
 func (l *Lab) Replace(number int, sameID bool) error {
 	old := l.Core(number)
-	old.Abandon()
+	old.FreeAddresses()
 	var core *CoreProcess
 	var err error
 	if sameID {
@@ -154,7 +154,7 @@
 	}
 	l.mu.Unlock()
 	for _, id := range gone {
-		if l.Discovery.Lists(id) {
+		if l.Discovery.Listed(id) {
 			l.Discovery.Set(Member{ID: id, State: Gone})
 		}
 	}
--- a/internal/faulttrial/plan.go
+++ b/internal/faulttrial/plan.go
@@ -73,7 +73,7 @@
 	Cores       int             `json:"cores"`
 	Circuits    int             `json:"circuits"`
 	Settings    Settings        `json:"settings"`
-	Core        Behaviour       `json:"core"`
+	Core        CoreBehaviour   `json:"core"`
 	Callers     CallerBehaviour `json:"callers"`
 	Steps       []Step          `json:"steps"`
 }
@@ -99,7 +99,7 @@
 		rate = 0.5 + d.Float64()
 	}
 	p.Circuits = 6 + d.IntN(60)
-	p.Core = Behaviour{Work: d.between(2*time.Millisecond, 60*time.Millisecond), Hold: hold, Refuse: 0.1 * d.Float64(), Pieces: d.chance(0.25)}
+	p.Core = CoreBehaviour{Work: d.between(2*time.Millisecond, 60*time.Millisecond), Hold: hold, Refuse: 0.1 * d.Float64(), Pieces: d.chance(0.25)}
 	if d.chance(0.25) {
 		p.Core.Spoil = 0.02
 	}
--- a/internal/faulttrial/run.go
+++ b/internal/faulttrial/run.go
@@ -135,7 +135,7 @@
 		case <-time.After(measureInterval):
 		}
 		for i := range x.Controllers {
-			x.lab.Controller(i).Measure()
+			x.lab.Controller(i).RecordUsage()
 		}
 	}
 }
@@ -176,12 +176,12 @@
 			x.release(x.faulty, s.Core)
 		}
 	case FaultForget, FaultReset, FaultClose:
-		x.lab.Core(s.Core).Disturb(string(s.Kind))
+		x.lab.Core(s.Core).DropIdleConnections(string(s.Kind))
 	case FaultLateUp:
 		core := x.lab.Core(s.Core)
-		core.SetLateUp(s.Delay)
+		core.SetAcceptDelay(s.Delay)
 		time.Sleep(s.For)
-		core.SetLateUp(0)
+		core.SetAcceptDelay(0)
 	case FaultDiscovery:
 		x.discoveryFault(s)
 	case FaultRestart, FaultKill:
@@ -197,15 +197,15 @@
 	case FaultReload, FaultReloadBad:
 		x.reload(s)
 	case FaultCrowd:
-		end := x.lab.Callers(s.Controller).Crowd(s.Count)
+		end := x.lab.Callers(s.Controller).OpenIdleConnections(s.Count)
 		time.Sleep(s.For)
 		end()
 	case FaultBurst:
 		x.lab.Callers(s.Controller).Burst(s.Count)
 	case FaultBadClients:
-		x.lab.Callers(s.Controller).Misbehave(s.Count)
+		x.lab.Callers(s.Controller).SendMalformed(s.Count)
 	case FaultMute:
-		x.lab.Callers(s.Controller).Mute()
+		x.lab.Callers(s.Controller).MuteConnection()
 	}
 }
 
@@ -215,11 +215,11 @@
 	case FaultHang:
 		core.Hang()
 		time.Sleep(s.For)
-		core.Return()
+		core.Restore()
 	case FaultCutOff:
 		core.CutOff()
 		time.Sleep(s.For)
-		core.Return()
+		core.Restore()
 	case FaultVanish:
 		core.Vanish()
 		time.Sleep(s.For)
@@ -296,9 +296,9 @@
 	controller, callers := x.lab.Controller(i), x.lab.Callers(i)
 	if how.planned {
 		controller.Signal(syscall.SIGTERM)
-		time.AfterFunc(newConnectionsFor, func() { callers.Pause(true) })
+		time.AfterFunc(newConnectionsFor, func() { callers.SetConnectingStopped(true) })
 		if how.quiet {
-			time.AfterFunc(requestsFor, func() { callers.Stop(true) })
+			time.AfterFunc(requestsFor, func() { callers.SetSendingStopped(true) })
 		}
 		select {
 		case <-time.After(x.Settings.KillAfter()):
@@ -306,11 +306,11 @@
 		}
 	}
 	controller.Kill()
-	callers.Pause(true)
+	callers.SetConnectingStopped(true)
 	time.Sleep(how.down)
 	x.fail(controller.Start(readyWithin))
-	callers.Pause(false)
-	callers.Stop(false)
+	callers.SetConnectingStopped(false)
+	callers.SetSendingStopped(false)
 }
 
 // signalSeries sends a controller that drains SIGTERM and SIGHUP in turn.
--- a/internal/faulttrial/sip.go
+++ b/internal/faulttrial/sip.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// errNoMessage tells that what was read is no SIP message.
-var errNoMessage = errors.New("faulttrial: no SIP message")
+// errInvalidMessage is returned for input that is not a valid SIP message.
+var errInvalidMessage = errors.New("faulttrial: invalid SIP message")
 
-// sipMessage is an answer, or a request if it has no status.
+// sipMessage is a SIP response, or a request if its status is 0.
 type sipMessage struct {
 	status int
 	method string
@@ -19,32 +19,33 @@
 	body   string
 }
 
-func readSIP(r *textproto.Reader) (sipMessage, error) {
-	first, err := r.ReadLine()
+// readSIP reads one SIP message with its body. The method of a response is that of its CSeq header.
+func readSIP(reader *textproto.Reader) (sipMessage, error) {
+	startLine, err := reader.ReadLine()
 	if err != nil {
 		return sipMessage{}, err
 	}
-	m := sipMessage{}
-	if m.header, err = r.ReadMIMEHeader(); err != nil {
-		return m, err
+	message := sipMessage{}
+	if message.header, err = reader.ReadMIMEHeader(); err != nil {
+		return message, err
 	}
-	n, err := strconv.Atoi(m.header.Get("Content-Length"))
-	if err != nil || n < 0 || n > maxLine {
-		return m, errNoMessage
+	length, err := strconv.Atoi(message.header.Get("Content-Length"))
+	if err != nil || length < 0 || length > maxMessageLength {
+		return message, errInvalidMessage
 	}
-	body := make([]byte, n)
-	if _, err := io.ReadFull(r.R, body); err != nil {
-		return m, err
+	body := make([]byte, length)
+	if _, err := io.ReadFull(reader.R, body); err != nil {
+		return message, err
 	}
-	m.body = string(body)
-	if rest, ok := strings.CutPrefix(first, "SIP/2.0 "); ok {
-		code, _, _ := strings.Cut(rest, " ")
-		if m.status, err = strconv.Atoi(code); err != nil {
-			return m, errNoMessage
+	message.body = string(body)
+	if statusText, ok := strings.CutPrefix(startLine, "SIP/2.0 "); ok {
+		code, _, _ := strings.Cut(statusText, " ")
+		if message.status, err = strconv.Atoi(code); err != nil {
+			return message, errInvalidMessage
 		}
-		_, m.method, _ = strings.Cut(m.header.Get("CSeq"), " ")
-		return m, nil
+		_, message.method, _ = strings.Cut(message.header.Get("CSeq"), " ")
+		return message, nil
 	}
-	m.method, _, _ = strings.Cut(first, " ")
-	return m, nil
+	message.method, _, _ = strings.Cut(startLine, " ")
+	return message, nil
 }
