--- a/internal/faulttrial/lab.go
+++ b/internal/faulttrial/lab.go
@@ -22,7 +22,7 @@
 	controllerNames []string // by index
 	controllers     []*Controller
 	callers         []*Callers
-	behaviour       Behaviour
+	behaviour       CoreBehaviour
 	circuits        int
 	seed            uint64
 
@@ -42,7 +42,7 @@
 	Cores       int
 	Circuits    int // of each circuit group
 	Settings    Settings
-	Core        Behaviour
+	Core        CoreBehaviour
 	Callers     CallerBehaviour
 }
 
@@ -131,7 +131,7 @@
 // The new core has the same id if sameID is set, else a new one. Discovery does not list it before Announce.
 func (l *Lab) Replace(number int, sameID bool) error {
 	old := l.Core(number)
-	old.Abandon()
+	old.FreeAddresses()
 	var core *CoreProcess
 	var err error
 	if sameID {
@@ -158,7 +158,7 @@
 	}
 	l.mu.Unlock()
 	for _, id := range gone {
-		if l.Discovery.Lists(id) {
+		if l.Discovery.Listed(id) {
 			l.Discovery.Set(Member{ID: id, State: Gone})
 		}
 	}
--- a/internal/faulttrial/plan.go
+++ b/internal/faulttrial/plan.go
@@ -74,7 +74,7 @@
 	Cores       int             `json:"cores"`
 	Circuits    int             `json:"circuits"`
 	Settings    Settings        `json:"settings"`
-	Core        Behaviour       `json:"core"`
+	Core        CoreBehaviour   `json:"core"`
 	Callers     CallerBehaviour `json:"callers"`
 	Steps       []Step          `json:"steps"`
 }
@@ -101,7 +101,7 @@
 		rate = 0.5 + r.Float64()
 	}
 	p.Circuits = 6 + r.IntN(60)
-	p.Core = Behaviour{Work: r.between(2*time.Millisecond, 60*time.Millisecond), Hold: hold, Refuse: 0.1 * r.Float64(), Pieces: r.chance(0.25)}
+	p.Core = CoreBehaviour{Work: r.between(2*time.Millisecond, 60*time.Millisecond), Hold: hold, Refuse: 0.1 * r.Float64(), Pieces: r.chance(0.25)}
 	if r.chance(0.25) {
 		p.Core.Spoil = 0.02
 	}
--- a/internal/faulttrial/run.go
+++ b/internal/faulttrial/run.go
@@ -139,7 +139,7 @@
 		case <-time.After(measureInterval):
 		}
 		for i := range r.Controllers {
-			r.lab.Controller(i).Measure()
+			r.lab.Controller(i).RecordUsage()
 		}
 	}
 }
@@ -181,12 +181,12 @@
 			r.release(r.faultyExchanges, s.Core)
 		}
 	case FaultForget, FaultReset, FaultClose:
-		r.lab.Core(s.Core).Disturb(string(s.Kind))
+		r.lab.Core(s.Core).DropIdleConnections(string(s.Kind))
 	case FaultLateUp:
 		core := r.lab.Core(s.Core)
-		core.SetLateUp(s.Delay)
+		core.SetAcceptDelay(s.Delay)
 		time.Sleep(s.For)
-		core.SetLateUp(0)
+		core.SetAcceptDelay(0)
 	case FaultDiscovery:
 		r.discoveryFault(s)
 	case FaultRestart, FaultKill:
@@ -202,15 +202,15 @@
 	case FaultReload, FaultReloadBad:
 		r.reload(s)
 	case FaultCrowd:
-		end := r.lab.Callers(s.Controller).Crowd(s.Count)
+		end := r.lab.Callers(s.Controller).OpenIdleConnections(s.Count)
 		time.Sleep(s.For)
 		end()
 	case FaultBurst:
 		r.lab.Callers(s.Controller).Burst(s.Count)
 	case FaultBadClients:
-		r.lab.Callers(s.Controller).Misbehave(s.Count)
+		r.lab.Callers(s.Controller).SendMalformed(s.Count)
 	case FaultMute:
-		r.lab.Callers(s.Controller).Mute()
+		r.lab.Callers(s.Controller).MuteConnection()
 	}
 }
 
@@ -221,11 +221,11 @@
 	case FaultHang:
 		core.Hang()
 		time.Sleep(s.For)
-		core.Return()
+		core.Restore()
 	case FaultCutOff:
 		core.CutOff()
 		time.Sleep(s.For)
-		core.Return()
+		core.Restore()
 	case FaultVanish:
 		core.Vanish()
 		time.Sleep(s.For)
@@ -302,9 +302,9 @@
 	controller, callers := r.lab.Controller(index), r.lab.Callers(index)
 	if how.graceful {
 		controller.Signal(syscall.SIGTERM)
-		time.AfterFunc(newConnectionPeriod, func() { callers.Pause(true) })
+		time.AfterFunc(newConnectionPeriod, func() { callers.SetConnectingStopped(true) })
 		if how.callersStop {
-			time.AfterFunc(requestPeriod, func() { callers.Stop(true) })
+			time.AfterFunc(requestPeriod, func() { callers.SetSendingStopped(true) })
 		}
 		select {
 		case <-time.After(r.Settings.KillAfter()):
@@ -312,11 +312,11 @@
 		}
 	}
 	controller.Kill()
-	callers.Pause(true)
+	callers.SetConnectingStopped(true)
 	time.Sleep(how.downtime)
 	r.recordError(controller.Start(readyWithin))
-	callers.Pause(false)
-	callers.Stop(false)
+	callers.SetConnectingStopped(false)
+	callers.SetSendingStopped(false)
 }
 
 // sendSignals sends SIGTERM and SIGHUP in turn to a controller that drains.
