--- a/cmd/stormlab/chart.go
+++ b/cmd/stormlab/chart.go
@@ -11,22 +11,24 @@
 	"brookmux/internal/stormlab"
 )
 
+// Size of a chart.
 const (
-	chartWide = 18 * vg.Centimeter
-	chartHigh = 8 * vg.Centimeter
+	chartWidth  = 18 * vg.Centimeter
+	chartHeight = 8 * vg.Centimeter
 )
 
-// chart draws the share served in time, second by second, a line for each variant of one scenario.
-func chart(path string, rows []stormlab.Row) error {
+// drawChart writes a chart to path: the share served in time, by second, with a line for each row. The rows are the variants
+// of one scenario; there must be at least one.
+func drawChart(path string, rows []stormlab.Row) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s, mean of %d seeds", rows[0].Scenario, rows[0].Seeds)
 	p.X.Label.Text, p.Y.Label.Text = "seconds of the day", "worth served in time"
 	p.Y.Min, p.Y.Max = 0, 1.05
 	p.Add(plotter.NewGrid())
 	for i, r := range rows {
-		points := make(plotter.XYs, len(r.Series))
-		for at, v := range r.Series {
-			points[at].X, points[at].Y = float64(at), v
+		points := make(plotter.XYs, len(r.ShareBySecond))
+		for second, v := range r.ShareBySecond {
+			points[second].X, points[second].Y = float64(second), v
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
@@ -36,7 +38,7 @@
 		p.Add(line)
 		p.Legend.Add(r.Variant, line)
 	}
-	if err := p.Save(chartWide, chartHigh, path); err != nil {
+	if err := p.Save(chartWidth, chartHeight, path); err != nil {
 		return fmt.Errorf("chart %s: %w", path, err)
 	}
 	return nil
--- a/cmd/stormlab/main.go
+++ b/cmd/stormlab/main.go
@@ -1,5 +1,5 @@
-// Command stormlab plays storms of retries and reconnects against this program's controllers in virtual time, and
-// keeps what came of them as tables and charts.
+// Command stormlab simulates storms of retries and reconnects against the controllers in virtual time and writes the
+// results as tables and charts.
 package main
 
 import (
@@ -18,12 +18,12 @@
 	"brookmux/internal/stormlab"
 )
 
-// commands is the command line.
+// commands defines the commands and flags of the command line.
 type commands struct {
 	List listCommand `cmd:"" help:"List the scenarios and variants."`
-	Run  runCommand  `cmd:"" help:"Play scenarios in virtual time, over seeds and variants."`
-	Real realCommand `cmd:"" help:"Play the one-core experiment on real sockets against the program, with SIGKILL and a restart."`
-	Show showCommand `cmd:"" help:"Play one scenario once and print its states and shares second by second."`
+	Run  runCommand  `cmd:"" help:"Run scenarios in virtual time, over seeds and variants."`
+	Real realCommand `cmd:"" help:"Run the one-core experiment on real sockets against the program, with SIGKILL and a restart."`
+	Show showCommand `cmd:"" help:"Run one scenario once and print its state changes and the share served in each second."`
 }
 
 func main() {
@@ -32,81 +32,84 @@
 	c.FatalIfErrorf(c.Run())
 }
 
+// listCommand lists the scenarios and variants.
 type listCommand struct{}
 
-// Run lists what there is.
+// Run prints the scenarios with their descriptions, and the variants.
 func (listCommand) Run(out io.Writer) error {
 	for _, s := range stormlab.Scenarios() {
-		fmt.Fprintf(out, "%-16s %s\n", s.Name, s.About)
+		fmt.Fprintf(out, "%-16s %s\n", s.Name, s.Description)
 	}
 	fmt.Fprintf(out, "variants: %v\n", stormlab.Variants)
 	return nil
 }
 
+// runCommand runs scenarios over variants and seeds.
 type runCommand struct {
-	Scenarios []string `arg:"" optional:"" help:"Scenarios by name; all if none is named."`
-	Variant   []string `help:"Variants by name." default:"off,on"`
-	Seeds     int      `help:"How many seeds." default:"10"`
-	Parallel  int      `help:"Plays at a time; 0 for as many as there are cores."`
-	Out       string   `help:"Folder for tables and charts; the table is printed as well." type:"path"`
-	Name      string   `help:"Name of the files written there." default:"storms"`
+	Scenarios []string `arg:"" optional:"" help:"Names of the scenarios; all by default."`
+	Variant   []string `help:"Names of the variants." default:"off,on"`
+	Seeds     int      `help:"Number of seeds." default:"10"`
+	Parallel  int      `help:"Number of parallel runs; 0 for the number of CPUs."`
+	Out       string   `help:"Existing folder for tables and charts; the table is printed as well." type:"path"`
+	Name      string   `help:"Prefix of the file names." default:"storms"`
 }
 
-// Run plays and writes.
+// Run runs the scenarios, prints the table and, with --out, writes the files. A broken rule is an error after the table is
+// printed, and no files are written then.
 func (c runCommand) Run(out io.Writer) error {
 	if c.Seeds < 1 {
-		return fmt.Errorf("--seeds is %d, at least 1 is needed", c.Seeds)
+		return fmt.Errorf("--seeds is %d, must be at least 1", c.Seeds)
 	}
-	list := stormlab.Scenarios()
+	scenarios := stormlab.Scenarios()
 	if len(c.Scenarios) > 0 {
-		list = nil
+		scenarios = nil
 		for _, name := range c.Scenarios {
-			s, err := stormlab.Find(name)
+			s, err := stormlab.FindScenario(name)
 			if err != nil {
 				return err
 			}
-			list = append(list, s)
+			scenarios = append(scenarios, s)
 		}
 	}
 	for _, v := range c.Variant {
 		if !slices.Contains(stormlab.Variants, v) {
-			return fmt.Errorf("no variant %q; there are %v", v, stormlab.Variants)
+			return fmt.Errorf("unknown variant %q; known variants: %v", v, stormlab.Variants)
 		}
 	}
 	if c.Parallel <= 0 {
 		c.Parallel = runtime.NumCPU()
 	}
-	began := time.Now()
-	results, err := stormlab.Sweep(list, c.Variant, c.Seeds, c.Parallel, func(n, of int) {
-		left := time.Since(began) / time.Duration(n) * time.Duration(of-n)
-		fmt.Fprintf(os.Stderr, "\r%d of %d, %v left  ", n, of, left.Round(time.Second))
+	startedAt := time.Now()
+	results, err := stormlab.Sweep(scenarios, c.Variant, c.Seeds, c.Parallel, func(finished, total int) {
+		remaining := time.Since(startedAt) / time.Duration(finished) * time.Duration(total-finished)
+		fmt.Fprintf(os.Stderr, "\r%d of %d, %v left  ", finished, total, remaining.Round(time.Second))
 	})
 	fmt.Fprintln(os.Stderr)
 	if err != nil {
 		return err
 	}
-	rows := stormlab.Table(results)
+	rows := stormlab.Summarize(results)
 	if err := stormlab.WriteMarkdown(out, rows); err != nil {
 		return err
 	}
 	for _, r := range results {
-		if len(r.Broken) > 0 {
-			return fmt.Errorf("%s, %s, seed %d: rule broken: %s", r.Scenario, r.Variant, r.Seed, r.Broken[0])
+		if len(r.Violations) > 0 {
+			return fmt.Errorf("%s, %s, seed %d: rule broken: %s", r.Scenario, r.Variant, r.Seed, r.Violations[0])
 		}
 	}
 	if c.Out == "" {
 		return nil
 	}
-	return c.write(rows)
+	return c.writeFiles(rows)
 }
 
-// write keeps the tables and a chart for each scenario.
-func (c runCommand) write(rows []stormlab.Row) error {
-	base := filepath.Join(c.Out, c.Name)
+// writeFiles writes the tables and a chart for each scenario.
+func (c runCommand) writeFiles(rows []stormlab.Row) error {
+	prefix := filepath.Join(c.Out, c.Name)
 	for _, f := range []struct {
 		path  string
 		write func(io.Writer, []stormlab.Row) error
-	}{{base + ".md", stormlab.WriteMarkdown}, {base + ".csv", stormlab.WriteCSV}} {
+	}{{prefix + ".md", stormlab.WriteMarkdown}, {prefix + ".csv", stormlab.WriteCSV}} {
 		w, err := os.Create(f.path)
 		if err != nil {
 			return err
@@ -120,7 +123,7 @@
 		if n < 0 {
 			n = len(rows)
 		}
-		if err := chart(base+"-"+rows[0].Scenario+".svg", rows[:n]); err != nil {
+		if err := drawChart(prefix+"-"+rows[0].Scenario+".svg", rows[:n]); err != nil {
 			return err
 		}
 		rows = rows[n:]
@@ -128,31 +131,33 @@
 	return nil
 }
 
+// showCommand runs one scenario and prints its course.
 type showCommand struct {
-	Scenario string `arg:"" help:"The scenario."`
-	Variant  string `help:"The variant." default:"on"`
-	Seed     uint64 `help:"The seed."`
+	Scenario string `arg:"" help:"Name of the scenario."`
+	Variant  string `help:"Name of the variant." default:"on"`
+	Seed     uint64 `help:"Seed of the run."`
 }
 
-// Run plays once and prints.
+// Run runs the scenario once and prints the state changes and the shares. A broken rule is an error after that.
 func (c showCommand) Run(out io.Writer) error {
-	s, err := stormlab.Find(c.Scenario)
+	s, err := stormlab.FindScenario(c.Scenario)
 	if err != nil {
 		return err
 	}
-	r, err := stormlab.Play(s, c.Variant, c.Seed)
+	r, err := stormlab.Run(s, c.Variant, c.Seed)
 	if err != nil {
 		return err
 	}
-	for _, x := range r.Changes {
-		fmt.Fprintf(out, "%8.2f s  %s %s: %v to %v, %s (offered %.1f, usual %.1f, redials %.0f%%)\n", standin.OfDay(x.At).Seconds(),
-			x.Scope.Kind, x.Scope.Name, x.From, x.To, x.Cause, x.Offered, x.Usual, 100*x.Redials)
+	for _, change := range r.Changes {
+		fmt.Fprintf(out, "%8.2f s  %s %s: %v to %v, %s (offered %.1f, usual %.1f, redials %.0f%%)\n",
+			standin.OfDay(change.At).Seconds(), change.Scope.Kind, change.Scope.Name, change.From, change.To, change.Cause,
+			change.Offered, change.Usual, 100*change.Redials)
 	}
-	for i, v := range r.Series {
+	for i, v := range r.ShareBySecond {
 		fmt.Fprintf(out, "%3d s  %.2f\n", i, v)
 	}
-	if len(r.Broken) > 0 {
-		return fmt.Errorf("rules broken: %v", r.Broken)
+	if len(r.Violations) > 0 {
+		return fmt.Errorf("rules broken: %v", r.Violations)
 	}
 	return nil
 }
--- a/cmd/stormlab/real.go
+++ b/cmd/stormlab/real.go
@@ -12,24 +12,26 @@
 	"brookmux/internal/standin/loopback"
 )
 
-// The one-core experiment on real sockets.
+// Settings of the one-core experiment on real sockets. Times are from the start of a run.
 const (
-	realCore  = 45.0
-	realTurn  = 3 * time.Second
-	realKill  = 10 * time.Second
-	realStart = 14 * time.Second
-	realEnd   = 55 * time.Second
+	realCoreCapacity = 45.0            // set-ups per second
+	realMaxWait      = 3 * time.Second // the core rejects set-ups that would wait longer
+	realKillAt       = 10 * time.Second
+	realRestartAt    = 14 * time.Second
+	realCallsUntil   = 55 * time.Second // no new calls after this
 )
 
+// realCommand runs the one-core experiment on real sockets.
 type realCommand struct {
-	Program string    `help:"The program." default:"bin/brookmux"`
-	Rate    []float64 `help:"Calls a second offered to a core that does 45." default:"44,50,60"`
-	Ignore  float64   `help:"Share of the callers that ignore advice." default:"0.3"`
-	Seed    uint64    `help:"The callers' seed." default:"1"`
-	Log     string    `help:"File for the programs' logs." type:"path"`
+	Program string    `help:"Path of the program." default:"bin/brookmux"`
+	Rate    []float64 `help:"Rates in calls per second, offered to a core with a capacity of 45." default:"44,50,60"`
+	Ignore  float64   `help:"Share of the callers that ignore retry advice." default:"0.3"`
+	Seed    uint64    `help:"Seed of the callers." default:"1"`
+	Log     string    `help:"File for the logs of the programs." type:"path"`
 }
 
-// Run plays all rates, with the subsystem off and on, at the same time; it takes a little over a minute.
+// Run runs all rates, each with storm control off and on, in parallel, and prints a table. It takes a little over a
+// minute.
 func (c realCommand) Run(out io.Writer) error {
 	log := io.Discard
 	if c.Log != "" {
@@ -40,85 +42,86 @@
 		defer f.Close()
 		log = f
 	}
-	lines := make([]string, 2*len(c.Rate))
-	errs := make([]error, len(lines))
-	var all sync.WaitGroup
-	for i := range lines {
-		all.Go(func() { lines[i], errs[i] = c.play(c.Rate[i/2], i%2 == 1, log) })
+	rows := make([]string, 2*len(c.Rate))
+	errs := make([]error, len(rows))
+	var wg sync.WaitGroup
+	for i := range rows {
+		wg.Go(func() { rows[i], errs[i] = c.runRate(c.Rate[i/2], i%2 == 1, log) })
 	}
-	all.Wait()
+	wg.Wait()
 	if err := errors.Join(errs...); err != nil {
 		return err
 	}
 	fmt.Fprintln(out, "| offered a second | storm | calls | before | 0 to 36 s | 10 to 36 s | 20 to 36 s | tries a call | waits told | alike in 100 | worst wait s | turned away |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-	for _, l := range lines {
-		fmt.Fprintln(out, l)
+	for _, row := range rows {
+		fmt.Fprintln(out, row)
 	}
 	return nil
 }
 
-// play plays one rate and returns its line.
-func (c realCommand) play(rate float64, on bool, log io.Writer) (line string, err error) {
-	core, err := loopback.NewCore(realCore, realTurn)
+// runRate runs the experiment at one rate, with storm control on or off, and returns the row of the table.
+func (c realCommand) runRate(rate float64, stormEnabled bool, log io.Writer) (row string, err error) {
+	core, err := loopback.NewCore(realCoreCapacity, realMaxWait)
 	if err != nil {
 		return "", err
 	}
 	defer func() { err = errors.Join(err, core.Close()) }()
-	p, err := loopback.NewProgram(c.Program, core.Addr(), fmt.Sprintf("enabled = %v\n", on), log)
+	program, err := loopback.NewProgram(c.Program, core.Addr(), fmt.Sprintf("enabled = %v\n", stormEnabled), log)
 	if err != nil {
 		return "", err
 	}
-	defer func() { err = errors.Join(err, p.Close()) }()
-	if err := p.Start(); err != nil {
+	defer func() { err = errors.Join(err, program.Close()) }()
+	if err := program.Start(); err != nil {
 		return "", err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), realEnd)
+	ctx, cancel := context.WithTimeout(context.Background(), realCallsUntil)
 	defer cancel()
 	script := make(chan error, 1)
 	go func() {
-		time.Sleep(realKill)
-		err := p.Kill()
-		time.Sleep(realStart - realKill)
-		script <- errors.Join(err, p.Start())
+		time.Sleep(realKillAt)
+		err := program.Kill()
+		time.Sleep(realRestartAt - realKillAt)
+		script <- errors.Join(err, program.Start())
 	}()
 	load := loopback.Load{Rate: rate, Redials: 2, Ignore: c.Ignore, Aim: 1500 * time.Millisecond, Give: 9 * time.Second, Seed: c.Seed}
-	calls := load.Call(ctx, p.Addr())
-	if err := errors.Join(<-script, p.Kill()); err != nil {
+	calls := load.Call(ctx, program.Addr())
+	if err := errors.Join(<-script, program.Kill()); err != nil {
 		return "", err
 	}
 	share := func(from, to time.Duration) float64 {
-		all, good := 0, 0
-		for _, k := range calls {
-			if k.At >= from && k.At < to {
-				if all++; k.Stood > 0 && k.Stood <= load.Aim {
-					good++
+		total, inTime := 0, 0
+		for _, call := range calls {
+			if call.At >= from && call.At < to {
+				if total++; call.Stood > 0 && call.Stood <= load.Aim {
+					inTime++
 				}
 			}
 		}
-		return float64(good) / float64(max(1, all))
+		return float64(inTime) / float64(max(1, total))
 	}
-	tries, after, told, alike := 0, 0, 0, 0
+	tries, callsAfterRestart, numWaits, repeatedWaits := 0, 0, 0, 0
 	var waits []time.Duration
-	for _, k := range calls {
-		if k.At >= realStart {
-			tries, after = tries+k.Tries, after+1
+	for _, call := range calls {
+		if call.At >= realRestartAt {
+			tries, callsAfterRestart = tries+call.Tries, callsAfterRestart+1
 		}
-		waits = append(waits, k.Told...)
+		waits = append(waits, call.Told...)
 	}
 	recent := map[time.Duration]int{}
-	for i, w := range waits { // in the order in which their callers were done, which is nearly that of the telling
-		told++
+	// The waits are in the order in which the calls ended, which is close to the order in which they were sent.
+	for i, w := range waits {
+		numWaits++
 		if i >= 100 {
 			recent[waits[i-100]]--
 		}
 		if recent[w] > 0 {
-			alike++
+			repeatedWaits++
 		}
 		recent[w]++
 	}
-	worst, turned := core.Seen()
-	return fmt.Sprintf("| %.0f | %v | %d | %.2f | %.2f | %.2f | %.2f | %.2f | %d | %d | %.2f | %d |", rate, on, len(calls), share(0, realKill),
-		share(realStart, realStart+36*time.Second), share(realStart+10*time.Second, realStart+36*time.Second),
-		share(realStart+20*time.Second, realStart+36*time.Second), float64(tries)/float64(max(1, after)), told, alike, worst.Seconds(), turned), nil
+	maxWait, rejected := core.Seen()
+	return fmt.Sprintf("| %.0f | %v | %d | %.2f | %.2f | %.2f | %.2f | %.2f | %d | %d | %.2f | %d |", rate, stormEnabled, len(calls), share(0, realKillAt),
+		share(realRestartAt, realRestartAt+36*time.Second), share(realRestartAt+10*time.Second, realRestartAt+36*time.Second),
+		share(realRestartAt+20*time.Second, realRestartAt+36*time.Second), float64(tries)/float64(max(1, callsAfterRestart)), numWaits, repeatedWaits, maxWait.Seconds(), rejected), nil
 }
--- a/internal/stormlab/play.go
+++ b/internal/stormlab/play.go
@@ -12,114 +12,123 @@
 	"brookmux/internal/storm"
 )
 
-// Result is what one play of a scenario came to.
+// Result holds the measurements of one run of a scenario. A share is the part of the offered worth that was served in time,
+// within the aim of the call's class. It covers the calls whose first try falls in the span.
 type Result struct {
-	Scenario, Variant string
-	Seed              uint64
-	Before            float64       // share of the worth served in time, up to the first step
-	From10            float64       // from 10 s after Back on, for 26 s
-	First, Then       float64       // in the 20 s from Back on, and in the 15 s after those
-	Obedient          float64       // First, of callers who follow advice
-	To90              time.Duration // from Back until the share is, and stays, at 90% of Before; -1 if never
-	SIP               float64       // First, of SIP callers at exchange 0
-	Lost              float64       // worth that was not served in time from the first step on
-	Tries             float64       // a call, from Back on
-	Attempts          float64       // set-ups that left, a call, over the day
-	Worst             time.Duration // longest wait that a set-up met at a processor
-	Turned            int           // set-ups that processors turned away
-	Fell              int           // processors pushed over
-	Alike             int           // waits that were told more than once among any hundred in a row
-	Broken            []string      // rules
-	Series            []float64     // share by second of the day
-	Changes           []storm.Change
+	Scenario, Variant       string
+	Seed                    uint64
+	ShareBefore             float64       // until 1 s before the first step, without the first 5 s at most
+	Share10To36             float64       // from 10 s to 36 s after RecoveryStart
+	Share0To20, Share20To35 float64       // in the first 20 s after RecoveryStart, and in the 15 s after those
+	ShareObedient           float64       // Share0To20 of the callers that follow retry advice
+	RecoveryTime            time.Duration // from RecoveryStart until the share stays at 90% of ShareBefore or more; -1 if never
+	ShareSIP                float64       // Share0To20 of the SIP callers at exchange 0
+	WorthLost               float64       // worth not served in time from the first step until 35 s after RecoveryStart
+	TriesPerCall            float64       // callers' tries, for calls of the first 20 s after RecoveryStart
+	AttemptsPerCall         float64       // set-ups sent by controllers, over the whole run
+	MaxWait                 time.Duration // longest wait that a set-up found at a processor
+	Rejected                int           // set-ups rejected by processors
+	Crashed                 int           // processors that crashed from overload
+	RepeatedWaits           int           // retry waits that the same controller had already sent among its last hundred
+	Violations              []string      // broken rules, the first few
+	ShareBySecond           []float64     // share for each second of the run
+	Changes                 []storm.Change
 }
 
+// Spans of the measurements.
 const (
-	spanFirst  = 20 * time.Second
-	spanThen   = 15 * time.Second
-	spanWindow = 4 * time.Second // that a share is taken over to tell when service is back
-	spanWatch  = 30 * time.Second
+	earlySpan       = 20 * time.Second // from RecoveryStart on
+	lateSpan        = 15 * time.Second // follows earlySpan
+	shareSpan       = 4 * time.Second  // sliding window for RecoveryTime
+	maxRecoveryTime = 30 * time.Second // RecoveryTime is never longer
 )
 
-// Play plays a scenario once.
-func Play(s Scenario, variant string, seed uint64) (Result, error) {
-	out := Result{Scenario: s.Name, Variant: variant, Seed: seed, To90: -1}
-	c := s.Mesh(seed)
+// Run runs a scenario once in virtual time. The same scenario, variant and seed give the same result. It returns an error
+// if the variant is unknown, the mesh cannot be built or a step fails. Broken rules are not an error but are in Violations.
+func Run(s Scenario, variant string, seed uint64) (Result, error) {
+	result := Result{Scenario: s.Name, Variant: variant, Seed: seed, RecoveryTime: -1}
+	config := s.Mesh(seed)
 	var err error
-	if c.Engine, err = engine(variant, &out); err != nil {
-		return out, err
+	if config.Engine, err = engineConfigurer(variant, &result); err != nil {
+		return result, err
 	}
-	m, err := standin.NewMesh(c)
+	mesh, err := standin.NewMesh(config)
 	if err != nil {
-		return out, err
+		return result, err
 	}
-	r := standin.NewRecord()
-	s.Load(m, r)
-	for _, x := range s.Script {
-		m.Until(x.At)
-		if err := x.Do(m); err != nil {
-			return out, err
+	record := standin.NewRecord()
+	s.Load(mesh, record)
+	for _, step := range s.Script {
+		mesh.Until(step.At)
+		if err := step.Do(mesh); err != nil {
+			return result, err
 		}
 	}
-	m.Until(s.End)
-	measure(&out, s, m, r)
-	return out, nil
+	mesh.Until(s.End)
+	measure(&result, s, mesh, record)
+	return result, nil
 }
 
-// measure reads the figures off a day that is over.
-func measure(out *Result, s Scenario, m *standin.Mesh, r *standin.Record) {
-	first := s.Script[0].At
-	before := m.Span(r, min(5*time.Second, first/2), first-time.Second, nil)
-	out.Before = before.Share()
-	after := m.Span(r, s.Back, s.Back+spanFirst, nil)
-	out.First, out.Tries = after.Share(), float64(after.Tries)/math.Max(1, float64(after.Offered))
-	out.Then = m.Span(r, s.Back+spanFirst, s.Back+spanFirst+spanThen, nil).Share()
-	out.From10 = m.Span(r, s.Back+spanFirst/2, s.Back+spanFirst/2+26*time.Second, nil).Share()
-	out.Obedient = m.Span(r, s.Back, s.Back+spanFirst, func(k *standin.Call) bool { return !k.Ignores }).Share()
-	out.SIP = m.Span(r, s.Back, s.Back+spanFirst, func(k *standin.Call) bool { return !k.Peer && k.Exchange == 0 }).Share()
-	for d := spanWatch; d >= 0; d -= time.Second {
-		if m.Span(r, s.Back+d, s.Back+d+spanWindow, nil).Share() < 0.9*out.Before {
+// measure fills the result from the mesh and the record of calls of a run that has ended.
+func measure(result *Result, s Scenario, m *standin.Mesh, r *standin.Record) {
+	firstStep := s.Script[0].At
+	before := m.Span(r, min(5*time.Second, firstStep/2), firstStep-time.Second, nil)
+	result.ShareBefore = before.Share()
+	early := m.Span(r, s.RecoveryStart, s.RecoveryStart+earlySpan, nil)
+	result.Share0To20, result.TriesPerCall = early.Share(), float64(early.Tries)/math.Max(1, float64(early.Offered))
+	result.Share20To35 = m.Span(r, s.RecoveryStart+earlySpan, s.RecoveryStart+earlySpan+lateSpan, nil).Share()
+	result.Share10To36 = m.Span(r, s.RecoveryStart+earlySpan/2, s.RecoveryStart+earlySpan/2+26*time.Second, nil).Share()
+	result.ShareObedient = m.Span(r, s.RecoveryStart, s.RecoveryStart+earlySpan, func(k *standin.Call) bool {
+		return !k.Ignores
+	}).Share()
+	result.ShareSIP = m.Span(r, s.RecoveryStart, s.RecoveryStart+earlySpan, func(k *standin.Call) bool {
+		return !k.Peer && k.Exchange == 0
+	}).Share()
+	for offset := maxRecoveryTime; offset >= 0; offset -= time.Second {
+		if m.Span(r, s.RecoveryStart+offset, s.RecoveryStart+offset+shareSpan, nil).Share() < 0.9*result.ShareBefore {
 			break
 		}
-		out.To90 = d
+		result.RecoveryTime = offset
 	}
-	lost := m.Span(r, first, s.Back+spanFirst+spanThen, nil)
-	out.Lost = lost.Worth - lost.Served
-	whole := m.Span(r, 0, s.End, nil)
-	out.Attempts = float64(m.Ledger.Sent) / math.Max(1, float64(whole.Offered))
+	sinceStep := m.Span(r, firstStep, s.RecoveryStart+earlySpan+lateSpan, nil)
+	result.WorthLost = sinceStep.Worth - sinceStep.Served
+	wholeRun := m.Span(r, 0, s.End, nil)
+	result.AttemptsPerCall = float64(m.Ledger.Sent) / math.Max(1, float64(wholeRun.Offered))
 	for i := range m.Exchanges {
 		p := m.Node(i).Proc
-		out.Worst, out.Turned = max(out.Worst, p.Worst), out.Turned+p.Turned
+		result.MaxWait, result.Rejected = max(result.MaxWait, p.Worst), result.Rejected+p.Turned
 		if p.Fell {
-			out.Fell++
+			result.Crashed++
 		}
 	}
-	out.Alike, out.Broken = r.Alike(100), m.Ledger.Broken
+	result.RepeatedWaits, result.Violations = r.Alike(100), m.Ledger.Broken
 	for t := time.Duration(0); t < s.End-9*time.Second; t += time.Second {
-		out.Series = append(out.Series, m.Span(r, t, t+time.Second, nil).Share())
+		result.ShareBySecond = append(result.ShareBySecond, m.Span(r, t, t+time.Second, nil).Share())
 	}
 }
 
-// Sweep plays scenarios in all variants over seeds, so many at a time, and returns the results in order. done
-// is told of each that is over.
-func Sweep(list []Scenario, variants []string, seeds, parallel int, done func(n, of int)) ([]Result, error) {
+// Sweep runs each scenario in each variant with the seeds 0 to seeds-1, at most parallel runs at a time. The results are
+// ordered by scenario, variant and seed, as given. After each run it calls progress, if not nil, one call at a time, with
+// the number of finished runs and the total. If runs fail, it returns no results and the first error in that order, after
+// all runs have ended.
+func Sweep(scenarios []Scenario, variants []string, seeds, parallel int, progress func(finished, total int)) ([]Result, error) {
 	type job struct {
 		s       Scenario
 		variant string
 		seed    uint64
 	}
 	var jobs []job
-	for _, s := range list {
+	for _, s := range scenarios {
 		for _, v := range variants {
 			for seed := range uint64(seeds) {
 				jobs = append(jobs, job{s, v, seed})
 			}
 		}
 	}
-	out, errs := make([]Result, len(jobs)), make([]error, len(jobs))
+	results, errs := make([]Result, len(jobs)), make([]error, len(jobs))
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	next, over := 0, 0
+	next, finished := 0, 0
 	for range max(1, parallel) {
 		wg.Go(func() {
 			for {
@@ -130,11 +139,11 @@
 				if i >= len(jobs) {
 					return
 				}
-				out[i], errs[i] = Play(jobs[i].s, jobs[i].variant, jobs[i].seed)
+				results[i], errs[i] = Run(jobs[i].s, jobs[i].variant, jobs[i].seed)
 				mu.Lock()
-				over++
-				if done != nil {
-					done(over, len(jobs))
+				finished++
+				if progress != nil {
+					progress(finished, len(jobs))
 				}
 				mu.Unlock()
 			}
@@ -146,24 +155,25 @@
 			return nil, fmt.Errorf("%s, %s, seed %d: %w", jobs[i].s.Name, jobs[i].variant, jobs[i].seed, err)
 		}
 	}
-	return out, nil
+	return results, nil
 }
 
-// Row sums the seeds of one scenario and variant up.
+// Row summarizes the results of all seeds of one scenario and variant. Its fields have the meaning of those of Result.
 type Row struct {
-	Scenario, Variant                          string
-	Seeds                                      int
-	Before, First, From10, Then, Obedient, SIP float64 // means
-	FirstWorst                                 float64
-	To90Median, To90Worst                      time.Duration // -1 if never
-	Lost, Tries, Attempts                      float64       // means
-	Worst                                      time.Duration
-	Turned, Fell, Alike, Broken                int
-	Series                                     []float64
+	Scenario, Variant                                                          string
+	Seeds                                                                      int
+	ShareBefore, Share0To20, Share10To36, Share20To35, ShareObedient, ShareSIP float64       // means
+	MinShare0To20                                                              float64       // of the worst seed
+	RecoveryMedian, RecoveryMax                                                time.Duration // of the median and the worst seed; -1 if never
+	WorthLost, TriesPerCall, AttemptsPerCall                                   float64       // means
+	MaxWait                                                                    time.Duration // over all seeds
+	Rejected, Crashed, RepeatedWaits, Violations                               int           // sums
+	ShareBySecond                                                              []float64     // means
 }
 
-// Table sums results up, a row for each scenario and variant in the order in which they come.
-func Table(results []Result) []Row {
+// Summarize returns a row for each scenario and variant, in the order of the results. Results of the same scenario and
+// variant must be adjacent.
+func Summarize(results []Result) []Row {
 	var rows []Row
 	for len(results) > 0 {
 		n := slices.IndexFunc(results, func(r Result) bool {
@@ -172,45 +182,48 @@
 		if n < 0 {
 			n = len(results)
 		}
-		rows = append(rows, sum(results[:n]))
+		rows = append(rows, newRow(results[:n]))
 		results = results[n:]
 	}
 	return rows
 }
 
-// never sorts behind every time.
-func never(d time.Duration) time.Duration {
+// recoverySortKey maps a negative time, which means never, to the largest duration, so that it sorts last.
+func recoverySortKey(d time.Duration) time.Duration {
 	if d < 0 {
 		return math.MaxInt64
 	}
 	return d
 }
 
-func sum(list []Result) Row {
-	row := Row{Scenario: list[0].Scenario, Variant: list[0].Variant, Seeds: len(list), FirstWorst: math.Inf(1),
-		Series: make([]float64, len(list[0].Series))}
-	n := float64(len(list))
-	for _, r := range list {
-		row.Before += r.Before / n
-		row.First += r.First / n
-		row.From10 += r.From10 / n
-		row.Then += r.Then / n
-		row.Obedient += r.Obedient / n
-		row.SIP += r.SIP / n
-		row.Lost += r.Lost / n
-		row.Tries += r.Tries / n
-		row.Attempts += r.Attempts / n
-		row.FirstWorst = min(row.FirstWorst, r.First)
-		row.Worst = max(row.Worst, r.Worst)
-		row.Turned += r.Turned
-		row.Fell += r.Fell
-		row.Alike += r.Alike
-		row.Broken += len(r.Broken)
-		for i := range r.Series {
-			row.Series[i] += r.Series[i] / n
+// newRow summarizes the results of one scenario and variant. There must be at least one.
+func newRow(results []Result) Row {
+	row := Row{Scenario: results[0].Scenario, Variant: results[0].Variant, Seeds: len(results), MinShare0To20: math.Inf(1),
+		ShareBySecond: make([]float64, len(results[0].ShareBySecond))}
+	count := float64(len(results))
+	for _, r := range results {
+		row.ShareBefore += r.ShareBefore / count
+		row.Share0To20 += r.Share0To20 / count
+		row.Share10To36 += r.Share10To36 / count
+		row.Share20To35 += r.Share20To35 / count
+		row.ShareObedient += r.ShareObedient / count
+		row.ShareSIP += r.ShareSIP / count
+		row.WorthLost += r.WorthLost / count
+		row.TriesPerCall += r.TriesPerCall / count
+		row.AttemptsPerCall += r.AttemptsPerCall / count
+		row.MinShare0To20 = min(row.MinShare0To20, r.Share0To20)
+		row.MaxWait = max(row.MaxWait, r.MaxWait)
+		row.Rejected += r.Rejected
+		row.Crashed += r.Crashed
+		row.RepeatedWaits += r.RepeatedWaits
+		row.Violations += len(r.Violations)
+		for i := range r.ShareBySecond {
+			row.ShareBySecond[i] += r.ShareBySecond[i] / count
 		}
 	}
-	sorted := slices.SortedFunc(slices.Values(list), func(a, b Result) int { return cmp.Compare(never(a.To90), never(b.To90)) })
-	row.To90Median, row.To90Worst = sorted[len(list)/2].To90, sorted[len(list)-1].To90
+	sorted := slices.SortedFunc(slices.Values(results), func(a, b Result) int {
+		return cmp.Compare(recoverySortKey(a.RecoveryTime), recoverySortKey(b.RecoveryTime))
+	})
+	row.RecoveryMedian, row.RecoveryMax = sorted[len(results)/2].RecoveryTime, sorted[len(results)-1].RecoveryTime
 	return row
 }
--- a/internal/stormlab/scenario.go
+++ b/internal/stormlab/scenario.go
@@ -1,6 +1,7 @@
-// Package stormlab plays storms on the stand-in mesh and measures what they cost: how soon service is back, what
-// worth was lost, and what it took. It owns the scenarios, the variants (the subsystem off, on, and each part off
-// alone) and the tables; it must not decide anything, and it knows the controllers only through their core.
+// Package stormlab simulates storms of retries on the stand-in mesh and measures their cost: the time to recovery, the
+// worth lost, and the load on controllers and processors. It owns the scenarios, the variants (storm control off, on, and
+// on with one part disabled) and the result tables. It makes no control decisions itself and uses the controllers only
+// through package core.
 package stormlab
 
 import (
@@ -12,36 +13,38 @@
 	"brookmux/internal/storm"
 )
 
-// Scenario is a day with a storm in it.
+// Scenario describes a simulated run with a storm: the mesh, the load and the scripted faults. Times are from the start of
+// the run. Script has at least one step and is in order of time.
 type Scenario struct {
-	Name, About string
-	Mesh        func(seed uint64) standin.Config
-	Load        func(m *standin.Mesh, r *standin.Record)
-	Script      []Step
-	Back        time.Duration // from when on recovery is measured
-	End         time.Duration
+	Name, Description string
+	Mesh              func(seed uint64) standin.Config
+	Load              func(m *standin.Mesh, r *standin.Record)
+	Script            []Step
+	RecoveryStart     time.Duration // recovery is measured from here
+	End               time.Duration
 }
 
-// Step is something that happens on the day.
+// Step is an action on the mesh at a time of the run.
 type Step struct {
 	At time.Duration
 	Do func(m *standin.Mesh) error
 }
 
-func slow(part float64, d time.Duration, who ...int) func(*standin.Mesh) error {
+// slowProcessors returns an action that reduces the processors of exchanges to the given share of their speed, for d.
+func slowProcessors(speed float64, d time.Duration, exchanges ...int) func(*standin.Mesh) error {
 	return func(m *standin.Mesh) error {
-		for _, i := range who {
-			m.Node(i).Proc.Slow(part, d)
+		for _, i := range exchanges {
+			m.Node(i).Proc.Slow(speed, d)
 		}
 		return nil
 	}
 }
 
-// steps join steps at one time.
-func steps(f ...func(m *standin.Mesh) error) func(m *standin.Mesh) error {
+// sequence returns an action that runs several actions in order, up to the first error.
+func sequence(actions ...func(m *standin.Mesh) error) func(m *standin.Mesh) error {
 	return func(m *standin.Mesh) error {
-		for _, s := range f {
-			if err := s(m); err != nil {
+		for _, action := range actions {
+			if err := action(m); err != nil {
 				return err
 			}
 		}
@@ -49,18 +52,20 @@
 	}
 }
 
-func kill(who ...int) func(*standin.Mesh) error {
+// killControllers returns an action that kills the controllers of exchanges.
+func killControllers(exchanges ...int) func(*standin.Mesh) error {
 	return func(m *standin.Mesh) error {
-		for _, i := range who {
+		for _, i := range exchanges {
 			m.Kill(i)
 		}
 		return nil
 	}
 }
 
-func start(who ...int) func(*standin.Mesh) error {
+// startControllers returns an action that starts the controllers of exchanges.
+func startControllers(exchanges ...int) func(*standin.Mesh) error {
 	return func(m *standin.Mesh) error {
-		for _, i := range who {
+		for _, i := range exchanges {
 			if err := m.Start(i); err != nil {
 				return err
 			}
@@ -69,144 +74,167 @@
 	}
 }
 
-func replace(who ...int) func(*standin.Mesh) error {
+// replaceProcessors returns an action that replaces the processors of exchanges by cold ones.
+func replaceProcessors(exchanges ...int) func(*standin.Mesh) error {
 	return func(m *standin.Mesh) error {
-		for _, i := range who {
+		for _, i := range exchanges {
 			m.Replace(i)
 		}
 		return nil
 	}
 }
 
-func stall(d time.Duration, who ...int) func(*standin.Mesh) error {
+// stallProcessors returns an action that makes the processors of exchanges accept set-ups but process none, for d.
+func stallProcessors(d time.Duration, exchanges ...int) func(*standin.Mesh) error {
 	return func(m *standin.Mesh) error {
-		for _, i := range who {
+		for _, i := range exchanges {
 			m.Node(i).Proc.Stall(d)
 		}
 		return nil
 	}
 }
 
+// Settings of the scenarios.
 const (
-	coreRate  = 45.0 // set-ups a second of the one core
-	exchanges = 7
-	planned   = 10.0 // calls a second of an exchange's callers
-	second    = time.Second
+	coreCapacity = 45.0 // set-ups per second that the processor of a one-core scenario can do
+	numExchanges = 7    // in a mesh scenario, each with a controller
+	plannedRate  = 10.0 // calls per second of each exchange's callers at the planned load
+	second       = time.Second
 )
 
-var three = []int{1, 3, 5}
+// affectedExchanges are the exchanges whose controllers are killed or whose processors are slowed or replaced, in
+// scenarios that affect three of them.
+var affectedExchanges = []int{1, 3, 5}
 
-// one is the experiment of the one core: killed at 10 s, started again at 14 s.
-func one(name string, rate, ignore float64, about string, change func(*standin.Config)) Scenario {
-	return Scenario{Name: name, About: about, Back: 14 * second, End: 62 * second,
+// oneCoreScenario returns a scenario with one controller in front of one core. The controller is killed at 10 s and
+// restarted at 14 s. The rate is in calls per second; ignore is the share of callers that ignore retry advice. adjust, if
+// not nil, changes the mesh.
+func oneCoreScenario(name string, rate, ignore float64, description string, adjust func(*standin.Config)) Scenario {
+	return Scenario{Name: name, Description: description, RecoveryStart: 14 * second, End: 62 * second,
 		Mesh: func(seed uint64) standin.Config {
-			c := standin.OneCore(coreRate, seed)
+			c := standin.OneCore(coreCapacity, seed)
 			c.Reports = false
-			if change != nil {
-				change(&c)
+			if adjust != nil {
+				adjust(&c)
 			}
 			return c
 		},
 		Load: func(m *standin.Mesh, r *standin.Record) {
 			m.Call(0, rate, []float64{0, 1}, standin.Impatient(ignore), r)
 		},
-		Script: []Step{{10 * second, kill(0)}, {14 * second, start(0)}}}
+		Script: []Step{{10 * second, killControllers(0)}, {14 * second, startControllers(0)}}}
 }
 
-// mesh is a counting day with seven controllers.
-func mesh(name string, load float64, habit func(exchange int) standin.Habit, about string, back time.Duration, script ...Step) Scenario {
-	return Scenario{Name: name, About: about, Back: back, End: back + 50*second, Script: script,
-		Mesh: func(seed uint64) standin.Config { return standin.MeshDay(exchanges, planned, seed) },
+// meshScenario returns a scenario with seven exchanges, each with a controller. The load is loadFactor times the planned
+// rate, and the run ends 50 s after recoveryStart.
+func meshScenario(name string, loadFactor float64, habit func(exchange int) standin.Habit, description string,
+	recoveryStart time.Duration, script ...Step) Scenario {
+	return Scenario{Name: name, Description: description, RecoveryStart: recoveryStart, End: recoveryStart + 50*second,
+		Script: script,
+		Mesh:   func(seed uint64) standin.Config { return standin.MeshDay(numExchanges, plannedRate, seed) },
 		Load: func(m *standin.Mesh, r *standin.Record) {
-			for i := range exchanges {
-				m.Call(i, load*planned, standin.Shares(exchanges, i), habit(i), r)
+			for i := range numExchanges {
+				m.Call(i, loadFactor*plannedRate, standin.Shares(numExchanges, i), habit(i), r)
 			}
 		}}
 }
 
-// peer is a mesh in which a peer of one exchange storms.
-func peer(name, about string) Scenario {
-	s := mesh(name, 0.8, usual(0.3), about, 30*second, Step{30 * second, func(m *standin.Mesh) error {
-		flood := m.Loads()[exchanges] // after those of the exchanges
-		flood.SetRate(8)
-		m.After(20*second, func() { flood.SetRate(1) })
+// peerScenario returns a mesh scenario in which an M3UA peer of exchange 0 sends eight times its calls for 20 s.
+func peerScenario(name, description string) Scenario {
+	s := meshScenario(name, 0.8, meshHabit(0.3), description, 30*second, Step{30 * second, func(m *standin.Mesh) error {
+		peerCallers := m.Loads()[numExchanges] // follows the callers of the exchanges
+		peerCallers.SetRate(8)
+		m.After(20*second, func() { peerCallers.SetRate(1) })
 		return nil
 	}})
-	load := s.Load
+	loadMesh := s.Load
 	s.Load = func(m *standin.Mesh, r *standin.Record) {
-		load(m, r)
-		h := usual(0.3)(0)
-		h.Group = "point code 200"
-		m.Call(0, 1, standin.Shares(exchanges, 0), h, r)
+		loadMesh(m, r)
+		habit := meshHabit(0.3)(0)
+		habit.Group = "point code 200"
+		m.Call(0, 1, standin.Shares(numExchanges, 0), habit, r)
 	}
 	return s
 }
 
-// busy is a mesh with six times the calls.
-func busy(name, about string, back time.Duration, script ...Step) Scenario {
-	s := mesh(name, 6*0.97, usual(0.3), about, back, script...)
-	s.Mesh = func(seed uint64) standin.Config { return standin.MeshDay(exchanges, 6*planned, seed) }
+// busyScenario returns a mesh scenario with processors and circuits for six times the planned rate, at 97% load.
+func busyScenario(name, description string, recoveryStart time.Duration, script ...Step) Scenario {
+	s := meshScenario(name, 6*0.97, meshHabit(0.3), description, recoveryStart, script...)
+	s.Mesh = func(seed uint64) standin.Config { return standin.MeshDay(numExchanges, 6*plannedRate, seed) }
 	return s
 }
 
-func usual(ignore float64) func(int) standin.Habit {
+// meshHabit returns the behaviour of an exchange's callers: impatient callers, a share of whom ignores retry advice.
+func meshHabit(ignore float64) func(int) standin.Habit {
 	return func(int) standin.Habit {
-		h := standin.Impatient(ignore)
-		h.Upgrade = 0.06
-		return h
+		habit := standin.Impatient(ignore)
+		habit.Upgrade = 0.06
+		return habit
 	}
 }
 
-// Scenarios are all there are.
+// Scenarios returns all scenarios, in the order in which they are listed and run.
 func Scenarios() []Scenario {
-	outage := []Step{{20 * second, kill(three...)}, {25 * second, start(three...)}}
-	cold := []Step{{20 * second, kill(three...)}, {25 * second, steps(replace(three...), start(three...))}}
-	again := append(cold[:2:2], Step{31 * second, kill(three...)}, Step{36 * second, steps(replace(three...), start(three...))})
-	all := []int{0, 1, 2, 3, 4, 5, 6}
-	number := func(int) standin.Habit {
-		h := usual(0.3)(0)
-		h.OneNumber = 0.5
-		return h
+	outage := []Step{
+		{20 * second, killControllers(affectedExchanges...)},
+		{25 * second, startControllers(affectedExchanges...)}}
+	coldOutage := []Step{
+		{20 * second, killControllers(affectedExchanges...)},
+		{25 * second, sequence(replaceProcessors(affectedExchanges...), startControllers(affectedExchanges...))}}
+	secondOutage := append(coldOutage[:2:2],
+		Step{31 * second, killControllers(affectedExchanges...)},
+		Step{36 * second, sequence(replaceProcessors(affectedExchanges...), startControllers(affectedExchanges...))})
+	allExchanges := []int{0, 1, 2, 3, 4, 5, 6}
+	oneNumberHabit := func(int) standin.Habit {
+		habit := meshHabit(0.3)(0)
+		habit.OneNumber = 0.5
+		return habit
 	}
-	elsewhere := func(int) standin.Habit {
-		h := usual(0.3)(0)
-		h.Elsewhere, h.Jitter, h.PerHost = 0.5, 0.2, 3
-		return h
+	elsewhereHabit := func(int) standin.Habit {
+		habit := meshHabit(0.3)(0)
+		habit.Elsewhere, habit.Jitter, habit.PerHost = 0.5, 0.2, 3
+		return habit
 	}
 	return []Scenario{
-		one("one-98", 44, 0.3, "one core at 98% of what it does, the controller killed for 4 s", nil),
-		one("one-111", 50, 0.3, "the same at 111%", nil),
-		one("one-133", 60, 0.3, "the same at 133%", nil),
-		one("one-all-ignore", 50, 1, "at 111%, all callers ignore advice", nil),
-		one("one-no-advice", 50, 0.3, "at 111%, the settings bound advice to 0", func(c *standin.Config) {
+		oneCoreScenario("one-98", 44, 0.3, "one core at 98% of its capacity, the controller killed for 4 s", nil),
+		oneCoreScenario("one-111", 50, 0.3, "the same at 111%", nil),
+		oneCoreScenario("one-133", 60, 0.3, "the same at 133%", nil),
+		oneCoreScenario("one-all-ignore", 50, 1, "at 111%, all callers ignore retry advice", nil),
+		oneCoreScenario("one-no-advice", 50, 0.3, "at 111%, the settings disable retry advice", func(c *standin.Config) {
 			c.Settings.Module.RetryAfter, c.Settings.Module.MaxRetryAfter = false, 0
 		}),
-		one("one-spoilt", 40, 0.3, "at 89%, half of the answers are lost in resets", func(c *standin.Config) { c.Spoilt = 0.5 }),
-		one("one-picky", 50, 0.3, "at 111%, a core that turns set-ups away from a wait of 0.2 s on", func(c *standin.Config) {
+		oneCoreScenario("one-spoilt", 40, 0.3, "at 89%, half of the answers are lost to connection resets", func(c *standin.Config) {
+			c.Spoilt = 0.5
+		}),
+		oneCoreScenario("one-picky", 50, 0.3, "at 111%, a core that rejects set-ups that would wait more than 0.2 s", func(c *standin.Config) {
 			c.Lines[1].TurnAway, c.Lines[1].Refuse = 200*time.Millisecond, 8*time.Millisecond
 		}),
-		mesh("mesh", 0.97, usual(0.3), "seven controllers at 97%, three killed for 5 s", 25*second, outage...),
-		mesh("mesh-cold", 0.97, usual(0.3), "the same, with cold processors after it", 25*second, cold...),
-		mesh("mesh-again", 0.97, usual(0.3), "cold, and a second outage 6 s into recovery", 36*second, again...),
-		mesh("mesh-obedient", 0.97, usual(0), "cold, and all callers follow advice", 25*second, cold...),
-		mesh("mesh-all-cold", 0.97, usual(0.3), "all exchanges cold at once", 25*second,
-			Step{20 * second, kill(all...)}, Step{25 * second, steps(replace(all...), start(all...))}),
-		mesh("mesh-half-cold", 1.1, usual(0.3), "at 110%, half of the processors cold", 25*second,
-			Step{25 * second, replace(three...)}),
-		mesh("mesh-number", 1.1, number, "at 110%, half of all calls to one number; three killed for 5 s", 25*second, outage...),
-		mesh("mesh-elsewhere", 0.97, elsewhere, "cold, with shared addresses and redials through other controllers", 25*second, cold...),
-		peer("mesh-peer", "an M3UA peer calls eight times as often as usual for 20 s, SIP is calm"),
-		mesh("mesh-slow", 0.97, usual(0.3), "three processors three times slower for 20 s", 20*second,
-			Step{20 * second, slow(0.33, 20*second, three...)}),
-		busy("busy-cold", "seven exchanges with six times the calls, all cold at once", 25*second,
-			Step{20 * second, kill(all...)}, Step{25 * second, steps(replace(all...), start(all...))}),
-		mesh("mesh-stall", 0.97, usual(0.3), "one processor takes set-ups and answers none for 10 s", 30*second,
-			Step{20 * second, stall(10*second, 2)}),
+		meshScenario("mesh", 0.97, meshHabit(0.3), "seven controllers at 97%, three killed for 5 s", 25*second, outage...),
+		meshScenario("mesh-cold", 0.97, meshHabit(0.3), "the same, with cold processors after the outage", 25*second, coldOutage...),
+		meshScenario("mesh-again", 0.97, meshHabit(0.3), "cold, and a second outage 6 s into recovery", 36*second, secondOutage...),
+		meshScenario("mesh-obedient", 0.97, meshHabit(0), "cold, and all callers follow retry advice", 25*second, coldOutage...),
+		meshScenario("mesh-all-cold", 0.97, meshHabit(0.3), "all exchanges cold at once", 25*second,
+			Step{20 * second, killControllers(allExchanges...)},
+			Step{25 * second, sequence(replaceProcessors(allExchanges...), startControllers(allExchanges...))}),
+		meshScenario("mesh-half-cold", 1.1, meshHabit(0.3), "at 110%, half of the processors cold", 25*second,
+			Step{25 * second, replaceProcessors(affectedExchanges...)}),
+		meshScenario("mesh-number", 1.1, oneNumberHabit, "at 110%, half of all calls to one number; three killed for 5 s", 25*second,
+			outage...),
+		meshScenario("mesh-elsewhere", 0.97, elsewhereHabit, "cold, with shared addresses and redials through other controllers", 25*second,
+			coldOutage...),
+		peerScenario("mesh-peer", "an M3UA peer sends eight times its usual calls for 20 s, SIP load is unchanged"),
+		meshScenario("mesh-slow", 0.97, meshHabit(0.3), "three processors three times slower for 20 s", 20*second,
+			Step{20 * second, slowProcessors(0.33, 20*second, affectedExchanges...)}),
+		busyScenario("busy-cold", "seven exchanges with six times the calls, all cold at once", 25*second,
+			Step{20 * second, killControllers(allExchanges...)},
+			Step{25 * second, sequence(replaceProcessors(allExchanges...), startControllers(allExchanges...))}),
+		meshScenario("mesh-stall", 0.97, meshHabit(0.3), "one processor accepts set-ups but processes none for 10 s", 30*second,
+			Step{20 * second, stallProcessors(10*second, 2)}),
 	}
 }
 
-// Find returns a scenario by its name.
-func Find(name string) (Scenario, error) {
+// FindScenario returns the scenario with a name, or an error if there is none.
+func FindScenario(name string) (Scenario, error) {
 	for _, s := range Scenarios() {
 		if s.Name == name {
 			return s, nil
@@ -215,11 +243,12 @@
 	return Scenario{}, fmt.Errorf("stormlab: no scenario %q", name)
 }
 
-// Variants are the ways to play a scenario: the subsystem off, on, and on but for one part.
+// Variants lists the variants of a run: storm control off, on, and on with one part disabled.
 var Variants = []string{"off", "on", "no-window", "no-budget", "no-advice", "no-callers", "no-cold"}
 
-// engine sets what a variant makes of a controller.
-func engine(variant string, out *Result) (func(int, *core.Config), error) {
+// engineConfigurer returns the function that sets up storm control in a controller's configuration for a variant, and
+// collects its state changes in result. It returns nil for the variant "off", and an error for an unknown variant.
+func engineConfigurer(variant string, result *Result) (func(int, *core.Config), error) {
 	parts := storm.Config{Window: true, Budget: true, Advice: true, Callers: true, Cold: true}
 	switch variant {
 	case "off":
@@ -239,12 +268,12 @@
 		return nil, fmt.Errorf("stormlab: no variant %q", variant)
 	}
 	return func(_ int, c *core.Config) {
-		p := parts
-		p.Seed = c.Seed
-		s, err := storm.New(core.StormConfig(p, c.Settings))
-		if err == nil { // the settings are the scenario's own
+		config := parts
+		config.Seed = c.Seed
+		s, err := storm.New(core.StormConfig(config, c.Settings))
+		if err == nil { // cannot fail: the settings come from the scenario
 			c.Storm = s
-			c.Changed = func(x storm.Change) { out.Changes = append(out.Changes, x) }
+			c.Changed = func(change storm.Change) { result.Changes = append(result.Changes, change) }
 		}
 	}, nil
 }
--- a/internal/stormlab/stormlab_test.go
+++ b/internal/stormlab/stormlab_test.go
@@ -12,128 +12,130 @@
 	"brookmux/internal/standin"
 )
 
-// table plays scenarios over a few seeds, in virtual time, and fails on any broken rule or fallen processor.
-func table(t *testing.T, seeds int, variants []string, names ...string) map[string]Row {
-	var list []Scenario
+// runScenarios runs the scenarios over a few seeds in virtual time and returns the rows by "scenario variant". The test
+// fails if a rule is broken or a processor crashes.
+func runScenarios(t *testing.T, seeds int, variants []string, names ...string) map[string]Row {
+	var scenarios []Scenario
 	for _, n := range names {
-		s, err := Find(n)
+		s, err := FindScenario(n)
 		require.NoError(t, err)
-		list = append(list, s)
+		scenarios = append(scenarios, s)
 	}
-	results, err := Sweep(list, variants, seeds, runtime.NumCPU(), nil)
+	results, err := Sweep(scenarios, variants, seeds, runtime.NumCPU(), nil)
 	require.NoError(t, err)
-	out := map[string]Row{}
+	rows := map[string]Row{}
 	for _, r := range results {
-		require.Empty(t, r.Broken, "%s %s %d", r.Scenario, r.Variant, r.Seed)
-		require.Zero(t, r.Fell)
+		require.Empty(t, r.Violations, "%s %s %d", r.Scenario, r.Variant, r.Seed)
+		require.Zero(t, r.Crashed)
 	}
-	for _, r := range Table(results) {
-		out[r.Scenario+" "+r.Variant] = r
+	for _, r := range Summarize(results) {
+		rows[r.Scenario+" "+r.Variant] = r
 	}
-	return out
+	return rows
 }
 
-// TestOneCore: after the controller's restart service comes back, at 98%, 111% and 133% of what the core does, and
-// no two waits in a hundred are alike. Without the subsystem it does not.
+// TestOneCore checks that service recovers after a restart of the controller at 98%, 111% and 133% of the core's
+// capacity, clearly better than without storm control, and that no retry wait repeats within a hundred.
 func TestOneCore(t *testing.T) {
-	rows := table(t, 3, []string{"off", "on"}, "one-98", "one-111", "one-133")
-	for name, least := range map[string]float64{"one-98": 0.9, "one-111": 0.85, "one-133": 0.7} {
+	rows := runScenarios(t, 3, []string{"off", "on"}, "one-98", "one-111", "one-133")
+	for name, minShare := range map[string]float64{"one-98": 0.9, "one-111": 0.85, "one-133": 0.7} {
 		on, off := rows[name+" on"], rows[name+" off"]
-		require.Greater(t, on.Then, least, name)
-		require.Greater(t, on.First, off.First+0.1, name)
-		require.Less(t, on.Worst, time.Second, name)
-		require.Zero(t, on.Alike, name)
+		require.Greater(t, on.Share20To35, minShare, name)
+		require.Greater(t, on.Share0To20, off.Share0To20+0.1, name)
+		require.Less(t, on.MaxWait, time.Second, name)
+		require.Zero(t, on.RepeatedWaits, name)
 	}
 }
 
-// TestMesh: seven controllers, three killed; service is back at 90% within 20 s, with cold processors and with a
-// second outage too, and no processor turns a set-up away.
+// TestMesh checks that a mesh of seven controllers recovers to 90% of the earlier service within 20 s after three are
+// killed, also with cold processors and with a second outage, and that no processor rejects a set-up.
 func TestMesh(t *testing.T) {
-	for name, r := range table(t, 2, []string{"on"}, "mesh", "mesh-cold", "mesh-again", "mesh-obedient") {
-		require.True(t, r.To90Worst >= 0 && r.To90Worst <= 20*time.Second, "%s: %v", name, r.To90Worst)
-		require.Zero(t, r.Turned, name)
-		require.Zero(t, r.Alike, name)
+	for name, r := range runScenarios(t, 2, []string{"on"}, "mesh", "mesh-cold", "mesh-again", "mesh-obedient") {
+		require.True(t, r.RecoveryMax >= 0 && r.RecoveryMax <= 20*time.Second, "%s: %v", name, r.RecoveryMax)
+		require.Zero(t, r.Rejected, name)
+		require.Zero(t, r.RepeatedWaits, name)
 	}
 }
 
-// TestObedient: those who follow advice are served as well among 30% who ignore it as among their like.
+// TestObedient checks that callers that follow retry advice are served nearly as well when 30% of the callers ignore it as
+// when all follow it.
 func TestObedient(t *testing.T) {
-	rows := table(t, 3, []string{"on"}, "mesh-obedient", "mesh-cold")
-	require.Greater(t, rows["mesh-cold on"].Obedient, 0.95*rows["mesh-obedient on"].Obedient)
+	rows := runScenarios(t, 3, []string{"on"}, "mesh-obedient", "mesh-cold")
+	require.Greater(t, rows["mesh-cold on"].ShareObedient, 0.95*rows["mesh-obedient on"].ShareObedient)
 }
 
-// TestRules: every other storm keeps the rules, whatever it costs, in every variant.
+// TestRules checks that the other scenarios break no rule, with all parts of storm control and without the window.
 func TestRules(t *testing.T) {
-	table(t, 1, []string{"on", "no-window"}, "one-all-ignore", "one-no-advice", "one-spoilt", "one-picky", "mesh-all-cold",
-		"mesh-half-cold", "mesh-number", "mesh-elsewhere", "mesh-slow", "mesh-peer", "mesh-stall")
+	runScenarios(t, 1, []string{"on", "no-window"}, "one-all-ignore", "one-no-advice", "one-spoilt", "one-picky",
+		"mesh-all-cold", "mesh-half-cold", "mesh-number", "mesh-elsewhere", "mesh-slow", "mesh-peer", "mesh-stall")
 }
 
-// TestSamePlay: the same seed gives the same run.
+// TestSamePlay checks that two runs with the same seed give the same result.
 func TestSamePlay(t *testing.T) {
-	s, err := Find("mesh-elsewhere")
+	s, err := FindScenario("mesh-elsewhere")
 	require.NoError(t, err)
-	a, err := Play(s, "on", 3)
+	first, err := Run(s, "on", 3)
 	require.NoError(t, err)
-	b, err := Play(s, "on", 3)
+	repeated, err := Run(s, "on", 3)
 	require.NoError(t, err)
-	require.Equal(t, a, b)
+	require.Equal(t, first, repeated)
 }
 
-// TestChangesInAStorm: new settings come in the middle of a storm, the clock of one controller steps back, and
-// another drains: every rule holds, what was told before stays so, and the drain ends.
+// TestChangesInAStorm changes the settings of one controller during a storm, steps the clock of another back and drains a
+// third. No rule may break, the controller with the new settings sends no further waits, and the drain ends.
 func TestChangesInAStorm(t *testing.T) {
-	s, err := Find("mesh-cold")
+	s, err := FindScenario("mesh-cold")
 	require.NoError(t, err)
 	c := s.Mesh(1)
 	skew := time.Duration(0)
-	build, err := engine("on", new(Result))
+	configure, err := engineConfigurer("on", new(Result))
 	require.NoError(t, err)
-	c.Engine = func(i int, x *core.Config) {
-		build(i, x)
-		if now := x.Clock; i == 2 {
-			x.Clock = func() time.Duration { return now() + skew }
+	c.Engine = func(i int, config *core.Config) {
+		configure(i, config)
+		if now := config.Clock; i == 2 {
+			config.Clock = func() time.Duration { return now() + skew }
 		}
 	}
 	m, err := standin.NewMesh(c)
 	require.NoError(t, err)
 	r := standin.NewRecord()
 	s.Load(m, r)
-	for _, x := range s.Script {
-		m.Until(x.At)
-		require.NoError(t, x.Do(m))
+	for _, step := range s.Script {
+		m.Until(step.At)
+		require.NoError(t, step.Do(m))
 	}
 	m.Until(27 * time.Second)
 	skew = -40 * time.Millisecond
-	next := m.Settings
-	next.Module.MaxRetryAfter = 0
-	next.Module.Here = 0
-	told := m.Reconfigure(0, next)
+	newSettings := m.Settings
+	newSettings.Module.MaxRetryAfter = 0
+	newSettings.Module.Here = 0
+	applyErr := m.Reconfigure(0, newSettings)
 	m.Until(29 * time.Second)
-	require.NoError(t, *told)
-	before := len(r.Told[[2]int{0, 1}])
-	require.Positive(t, before, "waits were told until then")
+	require.NoError(t, *applyErr)
+	waitsSent := len(r.Told[[2]int{0, 1}])
+	require.Positive(t, waitsSent, "waits were sent before the settings changed")
 	drained := m.Drain(4)
-	m.Until(330 * time.Second) // releases that a replaced processor lost are waited for no longer than five minutes
+	m.Until(330 * time.Second) // releases lost with a replaced processor are awaited for at most five minutes
 	require.Empty(t, m.Ledger.Broken)
-	require.Equal(t, before, len(r.Told[[2]int{0, 1}]), "no wait is told any more")
+	require.Equal(t, waitsSent, len(r.Told[[2]int{0, 1}]), "no wait is sent under the new settings")
 	select {
 	case <-drained:
 	default:
-		require.Fail(t, "the drain does not end")
+		require.Fail(t, "the drain did not end")
 	}
 }
 
-// TestTables: a table has a line for each row in both forms, and unknown names are errors.
+// TestTables checks that both table formats have a line for each row, and that unknown scenarios and variants are errors.
 func TestTables(t *testing.T) {
-	rows := []Row{{Scenario: "a", Variant: "on", Seeds: 2, To90Worst: -1}, {Scenario: "b", Variant: "off"}}
+	rows := []Row{{Scenario: "a", Variant: "on", Seeds: 2, RecoveryMax: -1}, {Scenario: "b", Variant: "off"}}
 	var md, csv bytes.Buffer
 	require.NoError(t, WriteMarkdown(&md, rows))
 	require.NoError(t, WriteCSV(&csv, rows))
 	require.Equal(t, 4, bytes.Count(md.Bytes(), []byte("\n")))
 	require.Equal(t, 3, bytes.Count(csv.Bytes(), []byte("\n")))
 	require.Contains(t, csv.String(), "never")
-	_, err := Find("no such")
+	_, err := FindScenario("no such")
 	require.Error(t, err)
-	_, err = Play(Scenarios()[0], "no such", 1)
+	_, err = Run(Scenarios()[0], "no such", 1)
 	require.Error(t, err)
 }
--- a/internal/stormlab/table.go
+++ b/internal/stormlab/table.go
@@ -8,56 +8,58 @@
 	"time"
 )
 
-// columns are a table's heads, each with how a row says it.
+// columns are the columns of the table, in order: the heading and the function that formats the value of a row.
 var columns = []struct {
-	head string
-	text func(Row) string
+	heading string
+	format  func(Row) string
 }{
 	{"scenario", func(r Row) string { return r.Scenario }},
 	{"variant", func(r Row) string { return r.Variant }},
 	{"seeds", func(r Row) string { return strconv.Itoa(r.Seeds) }},
-	{"before", func(r Row) string { return figure(r.Before, 3) }},
-	{"first 20 s", func(r Row) string { return figure(r.First, 3) }},
-	{"worst seed", func(r Row) string { return figure(r.FirstWorst, 3) }},
-	{"10 to 36 s", func(r Row) string { return figure(r.From10, 3) }},
-	{"20 to 35 s", func(r Row) string { return figure(r.Then, 3) }},
-	{"obedient", func(r Row) string { return figure(r.Obedient, 3) }},
-	{"SIP at 0", func(r Row) string { return figure(r.SIP, 3) }},
-	{"to 90% s", func(r Row) string { return seconds(r.To90Median) }},
-	{"worst s", func(r Row) string { return seconds(r.To90Worst) }},
-	{"worth lost", func(r Row) string { return figure(r.Lost, 0) }},
-	{"tries a call", func(r Row) string { return figure(r.Tries, 2) }},
-	{"set-ups a call", func(r Row) string { return figure(r.Attempts, 2) }},
-	{"worst wait s", func(r Row) string { return figure(r.Worst.Seconds(), 2) }},
-	{"turned away", func(r Row) string { return strconv.Itoa(r.Turned) }},
-	{"fell over", func(r Row) string { return strconv.Itoa(r.Fell) }},
-	{"waits alike", func(r Row) string { return strconv.Itoa(r.Alike) }},
-	{"rules broken", func(r Row) string { return strconv.Itoa(r.Broken) }},
+	{"before", func(r Row) string { return formatFloat(r.ShareBefore, 3) }},
+	{"first 20 s", func(r Row) string { return formatFloat(r.Share0To20, 3) }},
+	{"worst seed", func(r Row) string { return formatFloat(r.MinShare0To20, 3) }},
+	{"10 to 36 s", func(r Row) string { return formatFloat(r.Share10To36, 3) }},
+	{"20 to 35 s", func(r Row) string { return formatFloat(r.Share20To35, 3) }},
+	{"obedient", func(r Row) string { return formatFloat(r.ShareObedient, 3) }},
+	{"SIP at 0", func(r Row) string { return formatFloat(r.ShareSIP, 3) }},
+	{"to 90% s", func(r Row) string { return formatSeconds(r.RecoveryMedian) }},
+	{"worst s", func(r Row) string { return formatSeconds(r.RecoveryMax) }},
+	{"worth lost", func(r Row) string { return formatFloat(r.WorthLost, 0) }},
+	{"tries a call", func(r Row) string { return formatFloat(r.TriesPerCall, 2) }},
+	{"set-ups a call", func(r Row) string { return formatFloat(r.AttemptsPerCall, 2) }},
+	{"worst wait s", func(r Row) string { return formatFloat(r.MaxWait.Seconds(), 2) }},
+	{"turned away", func(r Row) string { return strconv.Itoa(r.Rejected) }},
+	{"fell over", func(r Row) string { return strconv.Itoa(r.Crashed) }},
+	{"waits alike", func(r Row) string { return strconv.Itoa(r.RepeatedWaits) }},
+	{"rules broken", func(r Row) string { return strconv.Itoa(r.Violations) }},
 }
 
-func figure(v float64, digits int) string { return strconv.FormatFloat(v, 'f', digits, 64) }
+// formatFloat formats a value with a fixed number of decimals.
+func formatFloat(v float64, digits int) string { return strconv.FormatFloat(v, 'f', digits, 64) }
 
-func seconds(d time.Duration) string {
+// formatSeconds formats a duration in whole seconds, and a negative one as "never".
+func formatSeconds(d time.Duration) string {
 	if d < 0 {
 		return "never"
 	}
-	return figure(d.Seconds(), 0)
+	return formatFloat(d.Seconds(), 0)
 }
 
-// WriteMarkdown writes rows as a table for people.
+// WriteMarkdown writes the rows as a Markdown table.
 func WriteMarkdown(w io.Writer, rows []Row) error {
-	line, rule := "|", "|"
+	line, separator := "|", "|"
 	for _, c := range columns {
-		line += " " + c.head + " |"
-		rule += " --- |"
+		line += " " + c.heading + " |"
+		separator += " --- |"
 	}
-	if _, err := fmt.Fprintf(w, "%s\n%s\n", line, rule); err != nil {
+	if _, err := fmt.Fprintf(w, "%s\n%s\n", line, separator); err != nil {
 		return err
 	}
 	for _, r := range rows {
 		line = "|"
 		for _, c := range columns {
-			line += " " + c.text(r) + " |"
+			line += " " + c.format(r) + " |"
 		}
 		if _, err := fmt.Fprintln(w, line); err != nil {
 			return err
@@ -66,24 +68,24 @@
 	return nil
 }
 
-// WriteCSV writes rows as a table for programs.
+// WriteCSV writes the rows as CSV with a header line.
 func WriteCSV(w io.Writer, rows []Row) error {
-	out := csv.NewWriter(w)
+	writer := csv.NewWriter(w)
 	record := make([]string, len(columns))
 	for i, c := range columns {
-		record[i] = c.head
+		record[i] = c.heading
 	}
-	if err := out.Write(record); err != nil {
+	if err := writer.Write(record); err != nil {
 		return err
 	}
 	for _, r := range rows {
 		for i, c := range columns {
-			record[i] = c.text(r)
+			record[i] = c.format(r)
 		}
-		if err := out.Write(record); err != nil {
+		if err := writer.Write(record); err != nil {
 			return err
 		}
 	}
-	out.Flush()
-	return out.Error()
+	writer.Flush()
+	return writer.Error()
 }
