--- a/api.go
+++ b/api.go
@@ -41,14 +41,14 @@
 	ScopeCell              // switches of the same exchange
 )
 
-// ReportHow selects the messages in which this controller receives load reports of other processors.
-type ReportHow int
+// ReportMode selects the messages in which this controller receives load reports of other processors.
+type ReportMode int
 
 // The sources of load reports.
 const (
-	ReportsNone    ReportHow = iota // no reports
-	ReportsAnswers                  // with outcomes and probe results
-	ReportsProbe                    // with probe results only
+	ReportsNone    ReportMode = iota // no reports
+	ReportsAnswers                   // with outcomes and probe results
+	ReportsProbe                     // with probe results only
 )
 
 // Class describes a class of calls: its deadlines, its worth and how its set-ups can be repeated.
@@ -70,8 +70,8 @@
 	Here          int  // number of the local exchange, -1 with Pools
 	Pools         bool // destinations are agent pools shared by all controllers; there is no transit
 	Classes       []Class
-	Ask           bool // changes of the membership list must be requested with Host.Follow
-	Reports       ReportHow
+	FollowMembers bool // changes of the membership list must be requested with Host.Follow
+	Reports       ReportMode
 	Probes        bool          // switches answer probes
 	RetryAfter    bool          // a rejection can carry retry advice
 	MaxRetryAfter time.Duration // longest wait in retry advice
@@ -179,11 +179,11 @@
 	Transit     bool          // the call arrives from another exchange, and this exchange is its tandem
 }
 
-// Stands reports that an attempt has set up its call.
-type Stands struct {
+// Answer reports that an attempt has set up its call.
+type Answer struct {
 	Call    CallID
 	Attempt int
-	Took    time.Duration // time since the attempt was sent
+	Elapsed time.Duration // time since the attempt was sent
 }
 
 // Result is the outcome of an attempt.
@@ -206,34 +206,34 @@
 
 // The reasons for a result.
 const (
-	ReasonNone          Reason = iota
-	ReasonNoCircuit            // no circuit or agent
-	ReasonTurnedBack           // rejected by the tandem
-	ReasonFarFull              // rejected by the tandem because the destination's processor was full
-	ReasonProcessorFull        // ResultFull: the switch's processor is full; ResultMoot: the local one is down
-	ReasonLineBusy             // the called line is busy
-	ReasonHeldBack             // the host did not send the set-up, because sending it would have broken a rule
+	ReasonNone             Reason = iota
+	ReasonNoCircuit               // no circuit or agent
+	ReasonRejectedByTandem        // rejected by the tandem
+	ReasonDestinationFull         // rejected by the tandem because the destination's processor was full
+	ReasonProcessorFull           // ResultFull: the switch's processor is full; ResultMoot: the local one is down
+	ReasonLineBusy                // the called line is busy
+	ReasonNotSent                 // the host did not send the set-up, because sending it would have broken a rule
 )
 
 // Outcome reports the end of an attempt. Each Send gets exactly one Outcome.
 type Outcome struct {
-	Call    CallID
-	Attempt int
-	Switch  SwitchID
-	Result  Result
-	Reason  Reason
-	Wait    time.Duration // back-off that a full processor asked for, 0 if none
-	Took    time.Duration // time since the attempt was sent
-	Over    bool          // the call has ended and awaits no further answer
-	Report  Report
+	Call      CallID
+	Attempt   int
+	Switch    SwitchID
+	Result    Result
+	Reason    Reason
+	Wait      time.Duration // back-off that a full processor asked for, 0 if none
+	Elapsed   time.Duration // time since the attempt was sent
+	CallEnded bool          // the call has ended and awaits no further answer
+	Report    Report
 }
 
 // ProbeResult is the answer to a Probe, or an unsolicited report of a change in the circuits toward a switch.
 type ProbeResult struct {
-	Switch  SwitchID
-	OK      bool
-	Unasked bool // unsolicited: of the Report, only Free and Size are used
-	Report  Report
+	Switch      SwitchID
+	OK          bool
+	Unsolicited bool // unsolicited: of the Report, only Free and Size are used
+	Report      Report
 }
 
 // Host carries out the actions of a Controller. Its methods must not call the Controller.
--- a/attempts.go
+++ b/attempts.go
@@ -48,8 +48,8 @@
 	c.host.Send(p.ID, e.readySwitch.ID, timeout)
 }
 
-// Stands processes the set-up of a call. One of an unknown call or an earlier attempt is ignored.
-func (c *Controller) Stands(now time.Duration, s Stands) {
+// Answered processes the set-up of a call. One of an unknown call or an earlier attempt is ignored.
+func (c *Controller) Answered(now time.Duration, s Answer) {
 	c.noteEvent(now)
 	p := c.calls[s.Call]
 	if p == nil || p.active == nil || s.Attempt != p.attempts-1 {
@@ -65,8 +65,8 @@
 		delete(to.tandemBackOff, e.number)
 		to.lastTandem = e
 	}
-	c.setUpBound += time.Duration(delayWeight * (setUpBoundFactor*float64(s.Took) - float64(c.setUpBound)))
-	if took := float64(s.Took) / float64(time.Millisecond); p.active.direct && took > 0 {
+	c.setUpBound += time.Duration(delayWeight * (setUpBoundFactor*float64(s.Elapsed) - float64(c.setUpBound)))
+	if took := float64(s.Elapsed) / float64(time.Millisecond); p.active.direct && took > 0 {
 		e.lastAnsweredSend = max(e.lastAnsweredSend, p.active.sentAt)
 		if c.minDelay == 0 || took < c.minDelay {
 			c.minDelay = took
@@ -77,9 +77,9 @@
 	}
 }
 
-// Ended processes the end of an attempt: it ends the call or routes it again. The report in the outcome is used
+// AttemptEnded processes the end of an attempt: it ends the call or routes it again. The report in the outcome is used
 // even if the call is unknown.
-func (c *Controller) Ended(now time.Duration, o Outcome) {
+func (c *Controller) AttemptEnded(now time.Duration, o Outcome) {
 	c.noteEvent(now)
 	if sw := c.switches[o.Switch]; sw != nil {
 		c.applyReport(now, c.exchange(sw.Number), o.Report, true)
@@ -91,7 +91,7 @@
 	a := p.active
 	c.releaseCircuits(p)
 	c.applyOutcome(now, p, a, o)
-	if o.Over || o.Result == ResultOK {
+	if o.CallEnded || o.Result == ResultOK {
 		c.recordUnserved(p) // for a call that is over and whose answer was not received
 		c.drop(p)
 		return
@@ -117,7 +117,7 @@
 		}
 		if e.unanswered = 0; o.Reason == ReasonProcessorFull {
 			e.backOffUntil = now + max(unresponsiveAfter, o.Wait)
-		} else if o.Reason == ReasonFarFull {
+		} else if o.Reason == ReasonDestinationFull {
 			to.backOffUntil = now + unresponsiveAfter
 		}
 	case ResultMoot:
@@ -125,7 +125,7 @@
 			for _, other := range c.exchanges {
 				other.backOffUntil = max(other.backOffUntil, now+time.Duration(c.targetWait*float64(time.Millisecond)))
 			}
-		} else if o.Reason != ReasonHeldBack && !known(o.Report.Free) {
+		} else if o.Reason != ReasonNotSent && !known(o.Report.Free) {
 			e.free = 0
 		}
 		e.unanswered = max(0, e.unanswered-1)
@@ -146,8 +146,8 @@
 	a.awaiting = false
 }
 
-// Left processes the end of a call for another reason, such as a caller who has hung up. The call gets no answer.
-func (c *Controller) Left(now time.Duration, id CallID) {
+// CallEnded processes the end of a call for another reason, such as a caller who has hung up. The call gets no answer.
+func (c *Controller) CallEnded(now time.Duration, id CallID) {
 	if p := c.calls[id]; p != nil {
 		c.recordUnserved(p)
 		c.drop(p)
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -80,25 +80,25 @@
 		if kind != brookmux.Failed {
 			m.Switches = l.inventories[e.Set]
 		}
-		l.withInstance(e.Who, func(i *instance) { i.controller.Members(now, m) })
+		l.withInstance(e.Who, func(i *instance) { i.controller.MembersChanged(now, m) })
 	case wire.Ingress:
 		l.withInstance(e.Who, func(i *instance) { i.controller.Offered(now, call(e)) })
 	case wire.FirstByte:
-		s := brookmux.Stands{Call: brookmux.CallID(e.Call), Attempt: int(e.Leg), Took: ms(e.Took)}
-		l.withInstance(e.Who, func(i *instance) { i.controller.Stands(now, s) })
+		s := brookmux.Answer{Call: brookmux.CallID(e.Call), Attempt: int(e.Leg), Elapsed: ms(e.Took)}
+		l.withInstance(e.Who, func(i *instance) { i.controller.Answered(now, s) })
 	case wire.Completed:
 		if e.Code > 7 {
 			return fmt.Errorf("COMPLETED: field code: unknown code %d", e.Code)
 		}
-		l.withInstance(e.Who, func(i *instance) { i.controller.Ended(now, outcome(e, i.reportNames)) })
+		l.withInstance(e.Who, func(i *instance) { i.controller.AttemptEnded(now, outcome(e, i.reportNames)) })
 	case wire.Cancelled:
-		l.withInstance(e.Who, func(i *instance) { i.controller.Left(now, brookmux.CallID(e.Call)) })
+		l.withInstance(e.Who, func(i *instance) { i.controller.CallEnded(now, brookmux.CallID(e.Call)) })
 	case wire.TimerFired:
 		l.withInstance(e.Who, func(i *instance) { i.controller.Timer(now, e.Tag) })
 	case wire.HealthResult:
 		l.withInstance(e.Who, func(i *instance) {
 			i.controller.Probed(now, brookmux.ProbeResult{Switch: brookmux.SwitchID(e.Switch), OK: e.Code == 1,
-				Unasked: e.Code == 1 && e.Took == 0, Report: report(i.reportNames, e.Health)})
+				Unsolicited: e.Code == 1 && e.Took == 0, Report: report(i.reportNames, e.Health)})
 		})
 	}
 	return nil
@@ -158,13 +158,13 @@
 // outcome translates a COMPLETED. The wire's result codes have the order of the module's Result constants.
 func outcome(e wire.Completed, names []string) brookmux.Outcome {
 	o := brookmux.Outcome{Call: brookmux.CallID(e.Call), Attempt: int(e.Leg), Switch: brookmux.SwitchID(e.Switch),
-		Result: brookmux.Result(e.Code), Took: ms(e.Took), Over: e.Done != 0, Report: report(names, e.Health)}
+		Result: brookmux.Result(e.Code), Elapsed: ms(e.Took), CallEnded: e.Done != 0, Report: report(names, e.Health)}
 	switch {
 	case e.Why == 18:
-		o.Reason = brookmux.ReasonFarFull
+		o.Reason = brookmux.ReasonDestinationFull
 	case e.Why&15 <= 4:
 		reasons := [...]brookmux.Reason{brookmux.ReasonNone, brookmux.ReasonNoCircuit,
-			brookmux.ReasonTurnedBack, brookmux.ReasonProcessorFull, brookmux.ReasonLineBusy}
+			brookmux.ReasonRejectedByTandem, brookmux.ReasonProcessorFull, brookmux.ReasonLineBusy}
 		o.Reason = reasons[e.Why&15]
 		o.Wait = ms(float64(e.Why >> 4))
 	}
--- a/cmd/benchlink/main_test.go
+++ b/cmd/benchlink/main_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	k := s.Classes[0]
-	if s.Here != 2 || !s.Ask || s.Pools || s.Reports != brookmux.ReportsProbe || s.MaxAttempts != 6 ||
+	if s.Here != 2 || !s.FollowMembers || s.Pools || s.Reports != brookmux.ReportsProbe || s.MaxAttempts != 6 ||
 		s.ReleaseWait != 300*time.Millisecond || k.Effect != brookmux.Keyed ||
 		k.Group != brookmux.ScopeCell || k.Hold != 12100*time.Millisecond || len(names) != 4 {
 		t.Errorf("got %+v, names %v", s, names)
--- a/cmd/benchlink/settings.go
+++ b/cmd/benchlink/settings.go
@@ -21,10 +21,10 @@
 
 // report returns the report with these values, named by position. Values without a known name are ignored.
 func report(names []string, values []float32) brookmux.Report {
-	r := conf.NoReport()
+	r := conf.EmptyReport()
 	for k, v := range values {
 		if k < len(names) {
-			conf.Figure(&r, names[k], float64(v))
+			conf.SetReportValue(&r, names[k], float64(v))
 		}
 	}
 	return r
--- a/cmd/brookmux/cli.go
+++ b/cmd/brookmux/cli.go
@@ -253,7 +253,7 @@
 		return g.overGNMI(t, out)
 	}
 	return t.withSession(func(c *netconf.Client) error {
-		tree, err := c.Config(datastore.Target(g.Datastore), g.Datastore == "state")
+		tree, err := c.GetConfig(datastore.Target(g.Datastore), g.Datastore == "state")
 		if err != nil {
 			return err
 		}
@@ -299,11 +299,11 @@
 // Run prints one line for each value removed (-) or added (+), and nothing if there is no difference.
 func (diffCommand) Run(t *configCommands, out io.Writer) error {
 	return t.withSession(func(c *netconf.Client) error {
-		running, err := c.Config(datastore.Running, false)
+		running, err := c.GetConfig(datastore.Running, false)
 		if err != nil {
 			return err
 		}
-		candidate, err := c.Config(datastore.Candidate, false)
+		candidate, err := c.GetConfig(datastore.Candidate, false)
 		if err != nil {
 			return err
 		}
@@ -381,7 +381,7 @@
 // Run prints the history, the newest first.
 func (historyCommand) Run(t *configCommands, out io.Writer) error {
 	return t.withSession(func(c *netconf.Client) error {
-		tree, err := c.Config(datastore.Running, true)
+		tree, err := c.GetConfig(datastore.Running, true)
 		if err != nil {
 			return err
 		}
--- a/cmd/brookmux/main.go
+++ b/cmd/brookmux/main.go
@@ -59,13 +59,13 @@
 	phase := &lifecycle.Lifecycle{}
 	phase.Watch(func(from, to lifecycle.State) { log.Info("phase", "from", from.String(), "to", to.String()) })
 	reader := directory.Reader{Zones: conf.settings.Zones, Origin: time.Now().Add(-originOffset)}
-	cachedList, err := reader.Known(conf.cachedList)
+	cachedList, err := reader.ParseEvents(conf.cachedList)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	merge := &directory.Merge{}
+	merge := &directory.Merger{}
 	links := &trunks{Pool: corelink.New(ctx, corelink.Config{ConnectTimeout: conf.settings.ConnectTimeout, Log: log,
 		Connections: connectionsPerCore(conf.sockets), Origin: reader.Origin})}
 	links.m3ua = m3ua.NewClient(conf.m3ua, log, func(list []brookmux.Switch) { merge.Set("m3ua", brookmux.Full, list) })
@@ -77,20 +77,20 @@
 	}
 	var m3uaServer atomic.Pointer[m3ua.Server]
 	var associations sync.WaitGroup
-	engine, err := core.New(core.Config{Storm: stormControl, Condition: func(exchange int, c core.Condition) {
+	engine, err := core.New(core.Config{Storm: stormControl, OnConditionChange: func(exchange int, c core.Condition) {
 		if s := m3uaServer.Load(); s != nil {
 			s.SetCondition(exchange, c)
 		}
 	}, Settings: conf.settings, Seed: conf.seed, Trunks: links, Log: log,
-		Origin: reader.Origin, Reports: reports, MostBytes: conf.memory / 8,
-		ReleaseOrphan: func(key string, cause core.Cause) { front.ReleaseOrphan(key, cause) },
-		Took:          func() { _ = phase.To(lifecycle.Serving) }, // fails, without effect, while draining
+		Origin: reader.Origin, Reports: reports, MaxBytes: conf.memory / 8,
+		ReleaseOrphan:  func(key string, cause core.Cause) { front.ReleaseOrphan(key, cause) },
+		OnFirstRequest: func() { _ = phase.Advance(lifecycle.Serving) }, // fails, without effect, while draining
 	})
 	if err != nil {
 		return err
 	}
 	links.Serve(engine)
-	merge.Told = engine.Listed
+	merge.OnChange = engine.MembersChanged
 	maxCallers, peers := splitDescriptors(conf.sockets, len(conf.m3ua.Peers))
 	front = sipfront.New(engine, phase, maxCallers, log)
 	if err := configureFront(conf, front); err != nil {
@@ -103,7 +103,7 @@
 
 	failed := make(chan error, 6)
 	go func() { failed <- engine.Run(ctx) }()
-	table := &exchangeTable{links: links, merge: merge, here: conf.settings.Module.Here, engine: engine,
+	table := &exchangeTable{links: links, listMerger: merge, here: conf.settings.Module.Here, engine: engine,
 		now: func() time.Duration { return time.Since(reader.Origin) }}
 	table.setListed(cachedList, brookmux.Cached)
 	nameService, err := directory.NewService(reader, conf.nameserver, cachedList.Serial, log,
@@ -113,7 +113,7 @@
 	}
 	go func() { failed <- nameService.Run(ctx) }()
 	manager, err := openManager(conf.store, &manager{name: conf.name, log: log, level: level,
-		defaultLevel: level.Level(), engine: engine, front: front, maxOpen: conf.settings.MostHeld})
+		defaultLevel: level.Level(), engine: engine, front: front, maxOpen: conf.settings.MaxOpenCalls})
 	if err != nil {
 		return err
 	}
@@ -133,7 +133,7 @@
 		return err
 	}
 	// Before either front accepts calls: the first call changes the state to serving, and ready can't follow serving.
-	if err := phase.To(lifecycle.Ready); err != nil {
+	if err := phase.Advance(lifecycle.Ready); err != nil {
 		return err
 	}
 	if conf.m3ua.Enabled {
@@ -166,11 +166,11 @@
 			if drained != nil {
 				continue
 			}
-			if err := phase.To(lifecycle.Draining); err != nil {
+			if err := phase.Advance(lifecycle.Draining); err != nil {
 				return err
 			}
 			killTime = time.Now().Add(killDelay(reloader.conf.settings))
-			front.Drain(killTime)
+			front.SetKillTime(killTime)
 			drained = engine.Drain()
 			continue
 		case <-drained:
@@ -181,7 +181,7 @@
 	cancel()
 	links.Wait()
 	associations.Wait()
-	return phase.To(lifecycle.Stopped)
+	return phase.Advance(lifecycle.Stopped)
 }
 
 // listen opens the listener of the SIP front and logs its address.
@@ -219,10 +219,10 @@
 		}
 		log.Info("m3ua listens", "address", l.Addr().String())
 		server := m3ua.NewServer(conf.m3ua, engine, maxPeers, log)
-		server.TellLevel = conf.storm.Enabled && conf.storm.Told.Level
-		server.TellNetwork = conf.storm.Enabled && conf.storm.Told.Network
+		server.SendLevel = conf.storm.Enabled && conf.storm.Notify.Level
+		server.SendConditions = conf.storm.Enabled && conf.storm.Notify.Network
 		m3uaServer.Store(server)
-		engine.Conditions() // the conditions reported before the server existed
+		engine.RepublishConditions() // the conditions reported before the server existed
 		associations.Go(func() {
 			if err := server.Serve(ctx, l); err != nil {
 				failed <- err
--- a/cmd/brookmux/manage.go
+++ b/cmd/brookmux/manage.go
@@ -265,9 +265,9 @@
 		if n == 0 {
 			n = m.maxOpen
 		}
-		m.engine.SetMostOpen(n)
+		m.engine.SetMaxOpenCalls(n)
 	case "report-interval":
-		m.engine.SetReportEvery(max(time.Duration(n)*time.Second, 0))
+		m.engine.SetReportInterval(max(time.Duration(n)*time.Second, 0))
 	}
 }
 
--- a/cmd/brookmux/operate.go
+++ b/cmd/brookmux/operate.go
@@ -129,29 +129,29 @@
 // access implements netconf.Access with the keys of the configuration file.
 type access struct{ netconfConfig }
 
-// HostKeys implements netconf.Access, as does Keys.
-func (a access) HostKeys() []ssh.Signer           { return a.hostSigners }
-func (a access) Keys(user string) []ssh.PublicKey { return a.userKeys[user] }
+// HostKeys implements netconf.Access, as does AuthorizedKeys.
+func (a access) HostKeys() []ssh.Signer                     { return a.hostSigners }
+func (a access) AuthorizedKeys(user string) []ssh.PublicKey { return a.userKeys[user] }
 
 // exchangeTable merges the exchanges of the membership list with those that operators have configured, and passes the
 // result to the links, the decision module and the engine.
 type exchangeTable struct {
-	links  *trunks
-	merge  *directory.Merge
-	here   int
-	engine *core.Engine
-	now    func() time.Duration // on the engine's clock
-
-	mu            sync.Mutex
-	placer        intent.Placer
-	listed        directory.List
-	groups        []intent.Group
-	hasConfigured bool // cores that only operators have configured were passed on
-	statuses      map[int]intent.Word
-	nextUpdate    time.Duration
-	pendingEvents [][][2]string              // to be sent by sendEvents
-	notify        func(string, ...[2]string) // sends an event to the subscribers; nil until NETCONF is open
-	onDraining    func(map[string]string)    // receives the result of draining after each list; called without the lock
+	links      *trunks
+	listMerger *directory.Merger
+	here       int
+	engine     *core.Engine
+	now        func() time.Duration // on the engine's clock
+
+	mu             sync.Mutex
+	exchangeMerger intent.Merger
+	listed         directory.List
+	groups         []intent.Group
+	hasConfigured  bool // cores that only operators have configured were passed on
+	statuses       map[int]intent.ExchangeOrigin
+	nextUpdate     time.Duration
+	pendingEvents  [][][2]string              // to be sent by sendEvents
+	notify         func(string, ...[2]string) // sends an event to the subscribers; nil until NETCONF is open
+	onDraining     func(map[string]string)    // receives the result of draining after each list; called without the lock
 }
 
 // setListed replaces the membership list.
@@ -186,8 +186,8 @@
 	defer t.mu.Unlock()
 	out := map[string]string{}
 	for n, w := range t.statuses {
-		if w.Told == "draining" || w.Told == "gone" {
-			out[fmt.Sprint(n)] = w.Told
+		if w.Listed == "draining" || w.Listed == "gone" {
+			out[fmt.Sprint(n)] = w.Listed
 		}
 	}
 	return out
@@ -196,10 +196,10 @@
 // update merges both sources, records an event for each exchange whose status changed, and passes the cores, the lists
 // and the sizes of the configured circuit groups on. The lock must be held.
 func (t *exchangeTable) update(kind brookmux.ListKind) {
-	all, configured, statuses, nextUpdate := t.placer.Place(t.now(), t.listed.Switches())
+	all, configured, statuses, nextUpdate := t.exchangeMerger.Merge(t.now(), t.listed.Switches())
 	for _, n := range slices.Sorted(maps.Keys(statuses)) {
 		if w := statuses[n]; t.statuses != nil && t.statuses[n] != w {
-			t.pendingEvents = append(t.pendingEvents, [][2]string{{"number", fmt.Sprint(n)}, {"told", w.Told},
+			t.pendingEvents = append(t.pendingEvents, [][2]string{{"number", fmt.Sprint(n)}, {"told", w.Listed},
 				{"origin", string(w.Origin)}})
 		}
 	}
@@ -218,13 +218,13 @@
 		switches = append(switches, c.Switch)
 	}
 	t.links.Update(to)
-	t.merge.Set("names", kind, all)
+	t.listMerger.Set("names", kind, all)
 	if len(configured) > 0 || t.hasConfigured {
 		t.hasConfigured = len(configured) > 0
-		t.merge.Set("config", brookmux.Full, switches)
+		t.listMerger.Set("config", brookmux.Full, switches)
 	}
 	for _, g := range t.groups {
-		r := settings.NoReport()
+		r := settings.EmptyReport()
 		r.Size = g.Size
 		for _, s := range append(all[:len(all):len(all)], switches...) {
 			if s.Number == g.Number {
@@ -238,7 +238,7 @@
 func (t *exchangeTable) setConfigured(list []intent.Exchange, groups []intent.Group, start bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.placer.Want(t.now(), list, start)
+	t.exchangeMerger.SetConfigured(t.now(), list, start)
 	t.groups = groups
 	t.update(brookmux.Full)
 }
@@ -275,8 +275,8 @@
 	for n, w := range t.statuses {
 		prefix := fmt.Sprintf("/exchanges/exchange[number='%d']/state/", n)
 		_ = tree.Put(schema.Item{Path: prefix + "origin", Value: string(w.Origin)}) // in the model, see the tests
-		if w.Told != "" {
-			_ = tree.Put(schema.Item{Path: prefix + "told", Value: w.Told})
+		if w.Listed != "" {
+			_ = tree.Put(schema.Item{Path: prefix + "told", Value: w.Listed})
 		}
 	}
 }
@@ -333,16 +333,16 @@
 // apply applies the settings with the configuration over them to the engine and the front. The lock must be held.
 func (o *overlay) apply(s settings.Settings, maxBytes int64, maxCallers int, tree *schema.Node) (err error) {
 	if tree != nil {
-		if s, err = intent.Settings(s, tree); err != nil {
+		if s, err = intent.ApplySettings(s, tree); err != nil {
 			return err
 		}
-		maxCallers = intent.Callers(tree, maxCallers)
+		maxCallers = intent.MaxCallers(tree, maxCallers)
 	}
 	if err := o.engine.Configure(s, maxBytes); err != nil {
 		return err
 	}
-	o.front.SetMost(maxCallers)
-	o.setMaxOpen(s.MostHeld)
+	o.front.SetMaxConns(maxCallers)
+	o.setMaxOpen(s.MaxOpenCalls)
 	return nil
 }
 
@@ -386,7 +386,7 @@
 func rejectStartOnly(_, next *schema.Node) (faults []schema.Fault) {
 	for node, file := range map[string]string{"storm": "deploy/storm.toml", "m3ua": "deploy/m3ua.toml"} {
 		if n := next.Get(node); n != nil && (n.Len() > 0 || n.Def.Presence) {
-			faults = append(faults, schema.Fault{Tag: schema.OperationUnknown, Path: n.Path(),
+			faults = append(faults, schema.Fault{Tag: schema.OperationNotSupported, Path: n.Path(),
 				Message: "it is read at the start only, from " + file})
 		}
 	}
@@ -397,7 +397,7 @@
 type operator struct {
 	owner         *transact.Owner
 	server        *netconf.Server
-	gnmi          *mgmt.Owned
+	gnmi          *mgmt.Transactional
 	model         *schema.Model
 	recoveryUsers map[string]bool // by name
 	log           *slog.Logger
@@ -417,20 +417,20 @@
 	}
 	o := &operator{log: log, model: model, recoveryUsers: c.recoveryUsers}
 	drains := &datastore.Drains{}
-	drains.Told(table.draining())
-	conf := transact.Config{Store: datastore.Config{Model: model, Keep: c.Keep, Sessions: maxSessions,
+	drains.SetStates(table.draining())
+	conf := transact.Config{Store: datastore.Config{Model: model, Keep: c.Keep, MaxSessions: maxSessions,
 		Guards: []datastore.Guard{drains.Guard, rejectStartOnly, nacm.Check},
 		Access: func(who datastore.Session, running, old, next *schema.Node, changes []schema.Change) []schema.Fault {
 			if c.recoveryUsers[who.User] {
 				return nil
 			}
-			return nacm.Of(running).Changes(who.User, old, next, changes)
+			return nacm.NewRules(running).DeniedChanges(who.User, old, next, changes)
 		}}, Now: time.Now, Log: log,
 		Parts: []transact.Part{settingsPart{settingsOverlay}, managerPart{m},
 			&exchangesPart{exchangeTable: table, zones: zones}},
-		Told: func(e transact.Event) {
+		OnTransaction: func(e transact.Event) {
 			if o.server != nil {
-				o.server.Told(e)
+				o.server.PublishTransaction(e)
 			}
 		}}
 	if c.Journal != "" {
@@ -438,7 +438,7 @@
 		if err != nil {
 			return nil, err
 		}
-		conf.Journal, conf.Kept = j, records
+		conf.Journal, conf.Records = j, records
 		log.Info("journal", "folder", c.Journal, "records", len(records))
 	}
 	if o.owner, err = transact.New(conf); err != nil {
@@ -449,20 +449,20 @@
 	}
 	table.mu.Lock()
 	table.onDraining = func(list map[string]string) {
-		_ = o.owner.Do(func(*datastore.Store) error { drains.Told(list); return nil }) // can't fail
+		_ = o.owner.Do(func(*datastore.Store) error { drains.SetStates(list); return nil }) // can't fail
 	}
 	table.mu.Unlock()
 	table.onDraining(table.draining()) // lists may have arrived since drains was filled
-	o.gnmi = mgmt.NewOwned(o.owner, table.addState, func() map[string]string {
+	o.gnmi = mgmt.NewTransactional(o.owner, table.addState, func() map[string]string {
 		set, _ := m.store.List("/border-control/controllers/")
 		return set
 	}, o.rules)
-	o.server = netconf.NewServer(netconf.Config{Owner: o.owner, Model: model, State: table.addState, Now: time.Now, Log: log, Rules: o.rules})
+	o.server = netconf.NewServer(netconf.Config{Owner: o.owner, Model: model, AddState: table.addState, Now: time.Now, Log: log, Rules: o.rules})
 	table.mu.Lock()
-	table.notify = o.server.Event
+	table.notify = o.server.PublishEvent
 	table.mu.Unlock()
 	m.mu.Lock()
-	m.notify = o.server.Event
+	m.notify = o.server.PublishEvent
 	m.mu.Unlock()
 	go o.runPeriodic(ctx, table)
 	if c.Listen == "" {
@@ -470,7 +470,7 @@
 	}
 	l, err := net.Listen("tcp", c.Listen)
 	if err != nil {
-		return nil, errors.Join(fmt.Errorf("netconf: listen: %w", err), o.owner.End())
+		return nil, errors.Join(fmt.Errorf("netconf: listen: %w", err), o.owner.Close())
 	}
 	log.Info("netconf listens", "address", l.Addr().String())
 	go func() {
@@ -486,9 +486,9 @@
 	if o.recoveryUsers[user] {
 		return nil
 	}
-	o.owner.Look(func(s *datastore.Store) {
+	o.owner.View(func(s *datastore.Store) {
 		if tree, err := s.Get(datastore.Running); err == nil {
-			r = nacm.Of(tree)
+			r = nacm.NewRules(tree)
 		}
 	})
 	return r
@@ -507,7 +507,7 @@
 			o.owner.Tick()
 			table.tick()
 			table.sendEvents()
-			o.gnmi.Poll()
+			o.gnmi.PublishChanges()
 		}
 	}
 }
@@ -518,7 +518,7 @@
 		return
 	}
 	o.server.Close()
-	if err := o.owner.End(); err != nil {
+	if err := o.owner.Close(); err != nil {
 		o.log.Warn("journal", "error", err)
 	}
 }
--- a/cmd/brookmux/operate_test.go
+++ b/cmd/brookmux/operate_test.go
@@ -287,7 +287,7 @@
 	load := func(ctx context.Context, seed uint64, to ...int) <-chan []*loopback.Call {
 		out := make(chan []*loopback.Call, 1)
 		go func() {
-			out <- loopback.Load{Rate: 60, Aim: 1500 * time.Millisecond, Give: 20 * time.Second, Seed: seed, To: to}.Call(ctx, s.sip)
+			out <- loopback.Load{Rate: 60, Aim: 1500 * time.Millisecond, Deadline: 20 * time.Second, Seed: seed, To: to}.Call(ctx, s.sip)
 		}()
 		return out
 	}
@@ -312,7 +312,7 @@
 		for stood := false; !stood; {
 			short, end := context.WithTimeout(t.Context(), 200*time.Millisecond)
 			for _, c := range <-load(short, uint64(10+i), 7+i) {
-				stood = stood || c.Stood > 0
+				stood = stood || c.TimeToAnswer > 0
 			}
 			end()
 		}
@@ -323,7 +323,7 @@
 		require.Regexp(t, fmt.Sprintf(`(?s)<number>%d</number>.*?<state>.*?<origin>%s</origin>`, n, want), got)
 	}
 	all := load(ctx, 2, 1, 2, 3, 4, 5, 6, 7, 8)
-	for cores[6].Asked() < 20 || cores[7].Asked() < 20 {
+	for cores[6].SetUps() < 20 || cores[7].SetUps() < 20 {
 		time.Sleep(10 * time.Millisecond) // calls arrive meanwhile
 	}
 	cancel()
@@ -331,8 +331,8 @@
 		require.NotEmpty(t, calls)
 		stood := 0
 		for _, c := range calls {
-			require.Zero(t, c.Lost, "a call from %v on was lost: %+v", c.At, c)
-			if c.Stood > 0 {
+			require.Zero(t, c.Unanswered, "a call from %v on was lost: %+v", c.FirstTryAt, c)
+			if c.TimeToAnswer > 0 {
 				stood++
 			}
 		}
@@ -367,7 +367,7 @@
 	for stood := false; !stood; {
 		short, end := context.WithTimeout(t.Context(), 200*time.Millisecond)
 		for _, c := range <-load(short, 20, 8) {
-			stood = stood || c.Stood > 0
+			stood = stood || c.TimeToAnswer > 0
 		}
 		end()
 	}
--- a/cmd/brookmux/reload.go
+++ b/cmd/brookmux/reload.go
@@ -46,7 +46,7 @@
 		return fmt.Errorf("configuration is for controller %q", next.name)
 	}
 	reader := directory.Reader{Zones: next.settings.Zones, Origin: r.reader.Origin}
-	cachedList, err := reader.Known(next.cachedList)
+	cachedList, err := reader.ParseEvents(next.cachedList)
 	if err != nil {
 		return err
 	}
@@ -71,7 +71,7 @@
 	}
 	r.conf, r.reader = next, reader
 	r.nameService.Move(conn, reader)
-	r.nameService.Take(cachedList) // usually older than the current list: serial numbers continue across a reload
+	r.nameService.Update(cachedList) // usually older than the current list: serial numbers continue across a reload
 	r.links.SetConnectTimeout(next.settings.ConnectTimeout)
 	r.setLimits(config{platform: next})
 	if listener != nil {
--- a/cmd/brookmux/storm.go
+++ b/cmd/brookmux/storm.go
@@ -15,7 +15,7 @@
 	if !c.storm.Enabled {
 		return nil, nil
 	}
-	s, err := storm.New(core.StormConfig(c.storm.Storm(c.seed), c.settings))
+	s, err := storm.New(core.StormConfig(c.storm.Config(c.seed), c.settings))
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
@@ -28,7 +28,7 @@
 	if !c.storm.Enabled {
 		return nil
 	}
-	front.SetRetryAfter(c.storm.Told.RetryAfter)
+	front.SetRetryAfter(c.storm.Notify.RetryAfter)
 	if c.storm.Pace.PerSecond > 0 {
 		p, err := storm.NewPacer(storm.Pace(c.storm.Pace))
 		if err != nil {
@@ -47,8 +47,8 @@
 	}
 	var ops []store.Op
 	put := func(path, value string) { ops = append(ops, store.Op{Path: base + path, Value: value}) }
-	for name, v := range map[string]int{"redials": s.Redials, "ignorers": s.Ignorers, "no-room": s.Turned[storm.NoRoom],
-		"came-early": s.Turned[storm.CameEarly], "vetoed": s.Vetoed, "ramps": s.Ramps} {
+	for name, v := range map[string]int{"redials": s.Redials, "ignorers": s.Ignorers, "no-room": s.Rejected[storm.NoRoom],
+		"came-early": s.Rejected[storm.CameEarly], "vetoed": s.Vetoed, "ramps": s.Ramps} {
 		put("counters/"+name, strconv.Itoa(v))
 	}
 	rate := func(v float64) string { return strconv.FormatFloat(v, 'f', 1, 64) }
--- a/cmd/stormlab/main.go
+++ b/cmd/stormlab/main.go
@@ -150,7 +150,7 @@
 	}
 	for _, change := range r.Changes {
 		fmt.Fprintf(out, "%8.2f s  %s %s: %v to %v, %s (offered %.1f, usual %.1f, redials %.0f%%)\n",
-			standin.OfDay(change.At).Seconds(), change.Scope.Kind, change.Scope.Name, change.From, change.To, change.Cause,
+			standin.SinceStart(change.At).Seconds(), change.Scope.Kind, change.Scope.Name, change.From, change.To, change.Cause,
 			change.Offered, change.Usual, 100*change.Redials)
 	}
 	for i, v := range r.ShareBySecond {
--- a/cmd/stormlab/real.go
+++ b/cmd/stormlab/real.go
@@ -84,7 +84,7 @@
 		time.Sleep(realRestartAt - realKillAt)
 		script <- errors.Join(err, program.Start())
 	}()
-	load := loopback.Load{Rate: rate, Redials: 2, Ignore: c.Ignore, Aim: 1500 * time.Millisecond, Give: 9 * time.Second, Seed: c.Seed}
+	load := loopback.Load{Rate: rate, MaxRedials: 2, IgnoreAdvice: c.Ignore, Aim: 1500 * time.Millisecond, Deadline: 9 * time.Second, Seed: c.Seed}
 	calls := load.Call(ctx, program.Addr())
 	if err := errors.Join(<-script, program.Kill()); err != nil {
 		return "", err
@@ -92,8 +92,8 @@
 	share := func(from, to time.Duration) float64 {
 		total, inTime := 0, 0
 		for _, call := range calls {
-			if call.At >= from && call.At < to {
-				if total++; call.Stood > 0 && call.Stood <= load.Aim {
+			if call.FirstTryAt >= from && call.FirstTryAt < to {
+				if total++; call.TimeToAnswer > 0 && call.TimeToAnswer <= load.Aim {
 					inTime++
 				}
 			}
@@ -103,10 +103,10 @@
 	tries, callsAfterRestart, numWaits, repeatedWaits := 0, 0, 0, 0
 	var waits []time.Duration
 	for _, call := range calls {
-		if call.At >= realRestartAt {
+		if call.FirstTryAt >= realRestartAt {
 			tries, callsAfterRestart = tries+call.Tries, callsAfterRestart+1
 		}
-		waits = append(waits, call.Told...)
+		waits = append(waits, call.AdvisedWaits...)
 	}
 	recent := map[time.Duration]int{}
 	// The waits are in the order in which the calls ended, which is close to the order in which they were sent.
--- a/controller.go
+++ b/controller.go
@@ -121,7 +121,7 @@
 const periodToken, followToken = 0, 2 // timer tokens; that of a call is twice its ID, plus one
 
 // New returns the Controller of one exchange, or an error that names the first invalid setting. The same seed
-// and events give the same actions. The first timer is set on the first Members or Offered event.
+// and events give the same actions. The first timer is set on the first MembersChanged or Offered event.
 func New(s Settings, seed uint64, host Host) (*Controller, error) {
 	if host == nil {
 		return nil, errors.New("brookmux: host is missing")
@@ -178,20 +178,21 @@
 	return e
 }
 
-// start sets the first timer and, with Settings.Ask, requests the membership list. Only the first call has an
-// effect: it comes with the first event, when the time is known.
+// start sets the first timer and, with Settings.FollowMembers, requests the membership list. Only the first
+// call has an effect: it comes with the first event, when the time is known.
 func (c *Controller) start() {
 	if !c.started {
 		c.host.SetTimer(ratePeriod, periodToken)
 	}
-	if !c.started && c.settings.Ask {
+	if !c.started && c.settings.FollowMembers {
 		c.host.Follow()
 	}
 	c.started = true
 }
 
-// Members processes the membership list or a change to it. After a failed request it schedules the next one.
-func (c *Controller) Members(now time.Duration, m Members) {
+// MembersChanged processes the membership list or a change to it. After a failed request it schedules the
+// next one.
+func (c *Controller) MembersChanged(now time.Duration, m Members) {
 	c.start()
 	if m.Kind == Failed {
 		c.host.SetTimer(followRetryDelay+time.Duration(c.rng.Int64N(int64(followRetryDelay))), followToken)
@@ -278,7 +279,7 @@
 		return
 	}
 	e := c.exchange(sw.Number)
-	c.applyReport(now, e, p.Report, !p.Unasked)
+	c.applyReport(now, e, p.Report, !p.Unsolicited)
 	c.retryQueued(now, e)
 }
 
--- a/controller_test.go
+++ b/controller_test.go
@@ -93,7 +93,7 @@
 func circuitReport(to int, free, size float64) ProbeResult {
 	r := emptyReport()
 	r.Free, r.Size = free, size
-	return ProbeResult{Switch: SwitchID(100 + to), OK: true, Unasked: true, Report: r}
+	return ProbeResult{Switch: SwitchID(100 + to), OK: true, Unsolicited: true, Report: r}
 }
 
 // startController returns a controller that knows four exchanges, with ten of ten circuits free to each, and its
@@ -105,7 +105,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Members(0, memberList(Cached, 4))
+	c.MembersChanged(0, memberList(Cached, 4))
 	for i := range 4 {
 		if i != s.Here {
 			c.Probed(0, circuitReport(i, 10, 10))
@@ -286,9 +286,9 @@
 	c.Offered(second, newCall(1, 1, second))
 	expectActions(t, d, "send 1 to 102")
 	o := outcome(1, 0, 102, ResultFull)
-	o.Reason = ReasonTurnedBack
+	o.Reason = ReasonRejectedByTandem
 	c.exchange(3).free = 10
-	c.Ended(second, o)
+	c.AttemptEnded(second, o)
 	expectActions(t, d, "") // the call waits for the direct route
 	if c.exchange(2).tandemBackOff[1].until <= second {
 		t.Error("the tandem that rejected the call is not backed off")
@@ -357,13 +357,13 @@
 	k.Via = 3
 	c.Offered(second, k)
 	expectActions(t, d, "send 60 to 103")
-	c.Stands(second, Stands{Call: 60, Took: 20 * time.Millisecond})
+	c.Answered(second, Answer{Call: 60, Elapsed: 20 * time.Millisecond})
 	if c.exchange(1).lastTandem != c.exchange(3) {
 		t.Fatal("the tandem of a standing call is not recorded")
 	}
 	c.Offered(second, newCall(61, 1, second))
 	expectActions(t, d, "send 61 to 103")
-	c.Ended(second, outcome(61, 0, 103, ResultFull))
+	c.AttemptEnded(second, outcome(61, 0, 103, ResultFull))
 	if u := c.exchange(1).tandemBackOff[3].until; u <= second || c.exchange(3).tandemBackOff[1].until != u {
 		t.Error("a group that rejected a call is not backed off in both directions")
 	}
@@ -378,7 +378,7 @@
 	e.backOffUntil = 3 * second
 	c.Offered(1100*time.Millisecond, newCall(2, 1, second))
 	expectActions(t, d, "send 1 to 101")
-	c.Stands(1200*time.Millisecond, Stands{Call: 1, Took: 200 * time.Millisecond})
+	c.Answered(1200*time.Millisecond, Answer{Call: 1, Elapsed: 200 * time.Millisecond})
 	c.Offered(1300*time.Millisecond, newCall(3, 1, second))
 	expectActions(t, d, "send 3 to 101")
 }
@@ -400,12 +400,12 @@
 	for i := range uint64(20) {
 		c.Timer(now, (i+1)*2+1)
 	}
-	c.Members(now, Members{Kind: Full})
+	c.MembersChanged(now, Members{Kind: Full})
 	c.Offered(now, newCall(50, 1, now))
 	if n := d.count("send"); n != 20 {
 		t.Errorf("%d set-ups for 20 calls and an empty list", n)
 	}
-	c.Members(now, memberList(Full, 4))
+	c.MembersChanged(now, memberList(Full, 4))
 	c.Offered(now, newCall(51, 1, now))
 	if n := d.count("send"); n > 22 {
 		t.Errorf("%d set-ups after the list was refilled", n)
@@ -427,9 +427,9 @@
 		k.Expires = at + 2600*time.Millisecond
 		c.Offered(at, k)
 		if i%3 != 0 {
-			c.Stands(at+100*time.Millisecond, Stands{Call: i + 1, Took: 100 * time.Millisecond})
+			c.Answered(at+100*time.Millisecond, Answer{Call: i + 1, Elapsed: 100 * time.Millisecond})
 		} else if i >= 9 {
-			c.Ended(at, outcome(i-8, 0, 101, ResultTimeout))
+			c.AttemptEnded(at, outcome(i-8, 0, 101, ResultTimeout))
 		}
 	}
 	if n := d.count("send"); n < 55 {
@@ -446,15 +446,15 @@
 		c.exchange(1).free = 20
 		for i := range CallID(10) {
 			c.Offered(second, newCall(100+i, 1, second))
-			c.Stands(second, Stands{Call: 100 + i, Took: 50 * time.Millisecond})
+			c.Answered(second, Answer{Call: 100 + i, Elapsed: 50 * time.Millisecond})
 		}
 		c.Offered(2*second, newCall(1, 1, 2*second))
 		c.exchange(1).free = 20
 		c.Offered(3*second, newCall(2, 1, 3*second))
 		if overtaken {
-			c.Stands(3100*time.Millisecond, Stands{Call: 2, Took: 50 * time.Millisecond})
+			c.Answered(3100*time.Millisecond, Answer{Call: 2, Elapsed: 50 * time.Millisecond})
 		}
-		c.Ended(5*second, outcome(1, 0, 101, ResultTimeout))
+		c.AttemptEnded(5*second, outcome(1, 0, 101, ResultTimeout))
 		c.exchange(1).unanswered, d.actions = 0, nil
 		k := newCall(3, 1, 5*second)
 		c.Offered(5*second, k)
@@ -478,7 +478,7 @@
 		id, at := CallID(i+1), time.Duration(i+1)*second
 		c.exchange(i+1).free, c.exchange(i+1).size = 10, 10
 		c.Offered(at, newCall(id, i+1, at))
-		c.Stands(at+took*time.Millisecond, Stands{Call: id, Took: took * time.Millisecond})
+		c.Answered(at+took*time.Millisecond, Answer{Call: id, Elapsed: took * time.Millisecond})
 		if i == 0 {
 			c.updateWorkScale(at)
 		}
@@ -511,7 +511,7 @@
 	for _, n := range []int{8, 90} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c, d := startController(b, meshSettings())
-			c.Members(0, memberList(Full, n))
+			c.MembersChanged(0, memberList(Full, n))
 			for i := 1; i < n; i++ {
 				c.Probed(second, circuitReport(i, 0, 10))
 			}
@@ -555,7 +555,7 @@
 		c, d := startController(t, meshSettings())
 		c.Offered(second, newCall(1, 1, second))
 		expectActions(t, d, "send 1 to 101")
-		c.Ended(1100*time.Millisecond, outcome(1, 0, 101, r))
+		c.AttemptEnded(1100*time.Millisecond, outcome(1, 0, 101, r))
 		c.Probed(1200*time.Millisecond, circuitReport(1, 9, 10))
 		c.Timer(1399*time.Millisecond, 1*2+1)
 		expectActions(t, d, "")
@@ -568,21 +568,21 @@
 	c, d := startController(t, meshSettings())
 	c.Offered(second, newCall(1, 1, second))
 	d.take()
-	c.Ended(4*second, outcome(1, 0, 101, ResultTimeout))
+	c.AttemptEnded(4*second, outcome(1, 0, 101, ResultTimeout))
 	expectActions(t, d, "refuse 1")
 }
 
 func TestDrainsAndReplacement(t *testing.T) {
 	c, d := startController(t, meshSettings())
 	for _, state := range []SwitchState{Draining, Gone} {
-		c.Members(second, Members{Kind: Delta, Switches: []Switch{{ID: 101, Number: 1, State: state}}})
+		c.MembersChanged(second, Members{Kind: Delta, Switches: []Switch{{ID: 101, Number: 1, State: state}}})
 		c.Offered(second, newCall(CallID(10+state), 1, second))
 		expectActions(t, d, fmt.Sprintf("refuse %d", 10+state))
 	}
-	c.Members(20*second, Members{Kind: Delta, Switches: []Switch{{ID: 201, Number: 1, State: Ready, Since: 2 * second}}})
+	c.MembersChanged(20*second, Members{Kind: Delta, Switches: []Switch{{ID: 201, Number: 1, State: Ready, Since: 2 * second}}})
 	c.Offered(20*second, newCall(3, 1, 20*second))
 	expectActions(t, d, "send 3 to 201")
-	c.Members(21*second, memberList(Full, 1)) // a switch missing from a complete list is gone
+	c.MembersChanged(21*second, memberList(Full, 1)) // a switch missing from a complete list is gone
 	c.Offered(21*second, newCall(4, 2, 21*second))
 	expectActions(t, d, "refuse 4")
 }
@@ -611,8 +611,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.Members(second, memberList(Cached, 4))
-			c.Members(100*second, Members{Kind: Delta, Switches: []Switch{
+			c.MembersChanged(second, memberList(Cached, 4))
+			c.MembersChanged(100*second, Members{Kind: Delta, Switches: []Switch{
 				{ID: tt.switchID, Number: tt.number, State: Ready, Since: 100*second - tt.age}}})
 			for i := range 20 {
 				c.exchange(1).free, c.exchange(1).size = 50, 50
@@ -636,7 +636,7 @@
 		t.Errorf("%d set-ups in four seconds to an unresponsive processor", n)
 	}
 	d.actions = nil
-	c.Stands(5*second, Stands{Call: 1, Attempt: 0, Took: second})
+	c.Answered(5*second, Answer{Call: 1, Attempt: 0, Elapsed: second})
 	c.exchange(1).free, c.exchange(1).outstanding = 10, nil
 	for i := range CallID(2) {
 		c.Offered(6100*time.Millisecond+time.Duration(i), newCall(90+i, 1, 6*second))
@@ -647,7 +647,7 @@
 func TestAgeOfSetUpsCountsAsDelay(t *testing.T) {
 	c, _ := startController(t, meshSettings())
 	c.Offered(second, newCall(1, 1, second))
-	c.Stands(1100*time.Millisecond, Stands{Call: 1, Attempt: 0, Took: 100 * time.Millisecond})
+	c.Answered(1100*time.Millisecond, Answer{Call: 1, Attempt: 0, Elapsed: 100 * time.Millisecond})
 	c.Offered(1200*time.Millisecond, newCall(2, 1, second))
 	if w, ok := c.excessWait(2200*time.Millisecond, c.exchange(1)); !ok || w < 800 {
 		t.Errorf("a set-up that is a second old shows a wait of %v ms", w)
@@ -663,7 +663,7 @@
 	c, d := startController(t, s)
 	c.meanWorth = 1
 	c.Offered(second, newCall(1, 1, second))
-	c.Stands(1100*time.Millisecond, Stands{Call: 1, Took: 100 * time.Millisecond})
+	c.Answered(1100*time.Millisecond, Answer{Call: 1, Elapsed: 100 * time.Millisecond})
 	c.Offered(1200*time.Millisecond, newCall(2, 1, second))
 	at := 1310*time.Millisecond + time.Duration(c.targetWait)*time.Millisecond
 	d.actions = nil
@@ -676,7 +676,7 @@
 	c.Offered(at, worthy)
 	c.Offered(at, transit)
 	expectActions(t, d, "send 4 to 101, send 5 to 101")
-	c.Stands(at, Stands{Call: 2, Took: at - 1200*time.Millisecond})
+	c.Answered(at, Answer{Call: 2, Elapsed: at - 1200*time.Millisecond})
 	c.Probed(at, circuitReport(1, 5, 10))
 	expectActions(t, d, "send 3 to 101")
 }
@@ -688,7 +688,7 @@
 	expectActions(t, d, "send 1 to 101")
 	down := outcome(1, 0, 101, ResultMoot)
 	down.Reason = ReasonProcessorFull
-	c.Ended(second, down)
+	c.AttemptEnded(second, down)
 	c.Offered(second, newCall(2, 2, second))
 	expectActions(t, d, "")
 	c.Probed(2*second, circuitReport(1, 9, 10))
@@ -720,7 +720,7 @@
 			d.take()
 			o := outcome(1, 0, 101, tt.result)
 			o.Report.Free = 5
-			c.Ended(1100*time.Millisecond, o)
+			c.AttemptEnded(1100*time.Millisecond, o)
 			expectActions(t, d, tt.want)
 		})
 	}
@@ -730,7 +730,7 @@
 		c, d := startController(t, s)
 		c.Offered(second, newCall(1, 1, second))
 		d.take()
-		c.Ended(2500*time.Millisecond, outcome(1, 0, 101, ResultError))
+		c.AttemptEnded(2500*time.Millisecond, outcome(1, 0, 101, ResultError))
 		expectActions(t, d, "fail 1")
 	})
 }
@@ -747,14 +747,14 @@
 
 func TestAskingForTheList(t *testing.T) {
 	s := meshSettings()
-	s.Ask = true
+	s.FollowMembers = true
 	d := &recorder{}
 	c, _ := New(s, 1, d)
-	c.Members(0, memberList(Cached, 4))
+	c.MembersChanged(0, memberList(Cached, 4))
 	if d.count("follow") != 1 {
 		t.Error("the membership list was not requested")
 	}
-	c.Members(second, Members{Kind: Failed})
+	c.MembersChanged(second, Members{Kind: Failed})
 	d.actions = nil
 	c.Timer(2*second, followToken)
 	if d.count("follow") != 1 {
@@ -787,9 +787,9 @@
 
 func TestUnknownIsIgnored(t *testing.T) {
 	c, d := startController(t, meshSettings())
-	c.Ended(second, outcome(5, 0, 999, ResultTimeout))
-	c.Stands(second, Stands{Call: 5})
-	c.Left(second, 5)
+	c.AttemptEnded(second, outcome(5, 0, 999, ResultTimeout))
+	c.Answered(second, Answer{Call: 5})
+	c.CallEnded(second, 5)
 	c.Timer(second, 5*2+1)
 	c.Probed(second, circuitReport(800, 1, 1))
 	c.Offered(second, Call{ID: 6, Class: 9})
@@ -895,10 +895,10 @@
 		now += 10 * time.Millisecond
 		id := SwitchID(1000 + i)
 		if i%2 == 0 {
-			c.Members(now, Members{Kind: Full, Switches: []Switch{{ID: id, Number: 1, State: Ready, Since: now}}})
+			c.MembersChanged(now, Members{Kind: Full, Switches: []Switch{{ID: id, Number: 1, State: Ready, Since: now}}})
 		} else {
 			gone := Switch{ID: id - 1, Number: 1, State: Gone}
-			c.Members(now, Members{Kind: Delta, Switches: []Switch{gone, {ID: id, Number: 1, State: Ready, Since: now}}})
+			c.MembersChanged(now, Members{Kind: Delta, Switches: []Switch{gone, {ID: id, Number: 1, State: Ready, Since: now}}})
 		}
 		if r := c.exchange(1).report; known(r.Wait) {
 			t.Fatalf("a new switch has a report: %v", r)
@@ -907,7 +907,7 @@
 		busy.Wait = 100
 		c.Probed(now, ProbeResult{Switch: id, OK: true, Report: busy})
 		c.Offered(now, newCall(CallID(10+i), 1, now))
-		c.Left(now, CallID(10+i))
+		c.CallEnded(now, CallID(10+i))
 		if i%100 == 0 {
 			c.Timer(now, periodToken)
 		}
@@ -954,13 +954,13 @@
 	if seed%3 == 0 {
 		n = 90
 	}
-	s.Instances, s.Probes, s.Reports = n, seed%2 == 0, ReportHow(seed%3)
+	s.Instances, s.Probes, s.Reports = n, seed%2 == 0, ReportMode(seed%3)
 	d := &recorder{}
 	c, err := New(s, seed, d)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Members(0, memberList(Cached, n))
+	c.MembersChanged(0, memberList(Cached, n))
 	records, timers, unavailableSince := map[CallID]*callRecord{}, []action{}, map[SwitchID]time.Duration{}
 	var ids []CallID
 	var all []action
@@ -1012,7 +1012,7 @@
 			if rec := records[id]; rec.sentTo != 0 && !rec.stands && now >= rec.expires {
 				o := outcome(id, rec.attempt-1, rec.sentTo, ResultTimeout)
 				rec.sentTo, rec.notBefore = 0, now+s.ReleaseWait
-				c.Ended(now, o)
+				c.AttemptEnded(now, o)
 				check()
 			}
 		}
@@ -1026,10 +1026,10 @@
 				}
 				if rec.over = true; rec.sentTo != 0 {
 					o := outcome(id, rec.attempt-1, rec.sentTo, ResultTimeout)
-					o.Over, rec.sentTo = true, 0
-					c.Ended(now, o)
+					o.CallEnded, rec.sentTo = true, 0
+					c.AttemptEnded(now, o)
 				} else {
-					c.Left(now, id)
+					c.CallEnded(now, id)
 				}
 			}
 		case step%900 == 300: // a third of the switches restart at once
@@ -1038,7 +1038,7 @@
 				m.Switches = append(m.Switches, Switch{ID: SwitchID(100 + i), Number: i, State: Ready, Since: now})
 				delete(unavailableSince, SwitchID(100+i))
 			}
-			c.Members(now, m)
+			c.MembersChanged(now, m)
 		}
 		id := CallID(step + 1)
 		switch rng.IntN(6) {
@@ -1055,7 +1055,7 @@
 		case 3:
 			x := Switch{ID: SwitchID(101 + rng.IntN(n-1)), State: SwitchState(rng.IntN(3)), Since: now * time.Duration(rng.IntN(2))}
 			x.Number = int(x.ID) - 100
-			c.Members(now, Members{Kind: Delta, Switches: []Switch{x}})
+			c.MembersChanged(now, Members{Kind: Delta, Switches: []Switch{x}})
 			if _, ok := unavailableSince[x.ID]; x.State == Ready {
 				delete(unavailableSince, x.ID)
 			} else if !ok {
@@ -1072,16 +1072,16 @@
 			}
 			if !rec.stands && rng.IntN(2) == 0 {
 				rec.stands = true
-				c.Stands(now, Stands{Call: id, Attempt: rec.attempt - 1, Took: 50 * time.Millisecond})
+				c.Answered(now, Answer{Call: id, Attempt: rec.attempt - 1, Elapsed: 50 * time.Millisecond})
 				break
 			}
 			o := outcome(id, rec.attempt-1, rec.sentTo, Result(rng.IntN(8)))
-			o.Over = rec.stands || o.Result == ResultOK
-			rec.over, rec.sentTo = rec.over || o.Over, 0
+			o.CallEnded = rec.stands || o.Result == ResultOK
+			rec.over, rec.sentTo = rec.over || o.CallEnded, 0
 			if o.Result == ResultTimeout || o.Result == ResultReset || o.Result == ResultCancelled {
 				rec.notBefore = now + s.ReleaseWait
 			}
-			c.Ended(now, o)
+			c.AttemptEnded(now, o)
 		}
 		check()
 	}
--- a/example_test.go
+++ b/example_test.go
@@ -31,7 +31,7 @@
 		fmt.Println(err)
 		return
 	}
-	ctl.Members(0, brookmux.Members{Kind: brookmux.Cached, Switches: []brookmux.Switch{
+	ctl.MembersChanged(0, brookmux.Members{Kind: brookmux.Cached, Switches: []brookmux.Switch{
 		{ID: 7, Number: 0, State: brookmux.Ready}, {ID: 8, Number: 1, State: brookmux.Ready}}})
 	ctl.Offered(time.Second, brookmux.Call{ID: 1, Destination: 1, Width: 1, Via: -1, Expires: 4 * time.Second})
 	// Output: send call 1 to switch 8
--- a/internal/core/accounting.go
+++ b/internal/core/accounting.go
@@ -10,7 +10,7 @@
 )
 
 // noReport is the report of an outcome in which the core sent no figures.
-var noReport = settings.NoReport()
+var noReport = settings.EmptyReport()
 
 // Counts holds event totals since the start of the process.
 //
@@ -98,7 +98,7 @@
 func (e *Engine) recordGuard(rule string, c *call) {
 	e.counts.Guards++
 	e.Config.Log.Warn("guard", "rule", rule, "call", c.Key, "sends", c.sends,
-		"out", c.current != nil, "last", c.lastResult, "age", e.now-c.at, "left", c.Left, "transit", c.Transit)
+		"out", c.current != nil, "last", c.lastResult, "age", e.now-c.at, "left", c.Remaining, "transit", c.Transit)
 }
 
 // reportCounts writes the totals to the log, offers them to the Reports channel and schedules the next report.
@@ -128,7 +128,7 @@
 	if e.Storm != nil {
 		s := e.Storm.Counts()
 		e.Config.Log.Info("storm counts", "offered", s.Offered, "redials", s.Redials, "ignorers", s.Ignorers,
-			"no_room", s.Turned[storm.NoRoom], "came_early", s.Turned[storm.CameEarly], "vetoed", s.Vetoed, "ramps", s.Ramps)
+			"no_room", s.Rejected[storm.NoRoom], "came_early", s.Rejected[storm.CameEarly], "vetoed", s.Vetoed, "ramps", s.Ramps)
 	}
 }
 
--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -28,7 +28,7 @@
 func (e *Engine) admit(c *call) {
 	if e.maxOpen > 0 && e.openCalls > e.maxOpen {
 		e.counts.Full++
-		e.refuse(c, Verdict{Wait: e.Settings.Module.MaxRetryAfter, Cause: Congestion, Why: "too many calls open"})
+		e.refuse(c, Verdict{Wait: e.Settings.Module.MaxRetryAfter, Cause: Congestion, Detail: "too many calls open"})
 		return
 	}
 	number, err := strconv.ParseUint(c.Number, 16, 64)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -29,7 +29,7 @@
 	Key         string        // identifies the call in every protocol, passed on unchanged
 	Class       string        // as named in the settings
 	Number      string        // the called number, hex digits, passed on unchanged
-	Left        time.Duration // time the caller still waits, 0 for the deadline of its class
+	Remaining   time.Duration // time the caller still waits, 0 for the deadline of its class
 	Destination int           // number of the exchange called
 	Width       float64       // circuits that the call takes
 	Via         int           // in transit: the exchange the call comes from; else the advised tandem, or -1
@@ -42,19 +42,19 @@
 
 // Verdict is a negative final answer.
 type Verdict struct {
-	Failed bool          // abandoned, and trying again may do harm; false if rejected
-	Bad    bool          // the request itself is invalid: trying again can't succeed
-	Wait   time.Duration // retry advice: how long the caller should wait, 0 for none
-	Cause  Cause
-	Level  int    // automatic congestion level of the destination (Q.763, 3.4), 0 for none
-	Why    string // explanation for logs and traces; sent to the caller where Bad is set
+	Failed  bool          // abandoned, and trying again may do harm; false if rejected
+	Invalid bool          // the request itself is invalid: trying again can't succeed
+	Wait    time.Duration // retry advice: how long the caller should wait, 0 for none
+	Cause   Cause
+	Level   int    // automatic congestion level of the destination (Q.763, 3.4), 0 for none
+	Detail  string // explanation for logs and traces; sent to the caller where Invalid is set
 }
 
 // Caller is the party that requested a call, as its front end sees it. The engine calls the methods from its own
 // goroutine: they must not block and must not call back into the engine.
 type Caller interface {
-	// Stands is the positive final answer: the call stands. It carries the session description sent by the core.
-	Stands(key string, description []byte)
+	// Answered is the positive final answer: the call stands. It carries the session description sent by the core.
+	Answered(key string, description []byte)
 	// Refuse is the negative final answer.
 	Refuse(key string, v Verdict)
 	// Release reports the end of a call that stood.
@@ -66,7 +66,7 @@
 	Key         string
 	Class       string
 	Number      string
-	Left        time.Duration // how long the engine waits for the outcome
+	Timeout     time.Duration // how long the engine waits for the outcome
 	Width       float64       // circuits that the call takes
 	Description []byte
 }
@@ -89,9 +89,9 @@
 	Report brookmux.Report
 	Cause  Cause
 	Level  int // automatic congestion level reported by the core (Q.763, 3.4), 0 for none
-	// Elsewhere is set if the outcome arrived on another connection than the one on which a set-up of the call is
+	// OtherConnection is set if the outcome arrived on another connection than the one on which a set-up of the call is
 	// open: it is not the end of that set-up.
-	Elsewhere bool
+	OtherConnection bool
 }
 
 // Condition is the state of an exchange as published to peers.
@@ -102,10 +102,10 @@
 
 // Loss describes which attempts or calls at a core are lost, and with which outcome.
 type Loss struct {
-	Cut     bool          // calls that stand are lost too
-	Unsure  bool          // the core may still have them, so it is sent releases
-	Before  time.Duration // only those sent before this time on the engine's clock; 0 or less for all
-	Outcome Outcome
+	Cut      bool          // calls that stand are lost too
+	MayStand bool          // the core may still have them, so it is sent releases
+	Before   time.Duration // only those sent before this time on the engine's clock; 0 or less for all
+	Outcome  Outcome
 }
 
 // Events receives the messages and the failures of the cores. *Engine implements it.
@@ -119,9 +119,9 @@
 	// Moved reports that what is open under one core id belongs to the core with another id, which took over the
 	// address before it was listed.
 	Moved(from, to brookmux.SwitchID)
-	// Reported passes on a report of a core that belongs to no call. unasked is set if the core sent it without a
+	// Reported passes on a report of a core that belongs to no call. unsolicited is set if the core sent it without a
 	// request.
-	Reported(from brookmux.SwitchID, r brookmux.Report, unasked bool)
+	Reported(from brookmux.SwitchID, r brookmux.Report, unsolicited bool)
 	// Congested passes on the congestion level reported by a core, 0 for none.
 	Congested(from brookmux.SwitchID, level int)
 	// Ignored reports a message for a call that matches no open attempt. what describes it for the log.
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -35,20 +35,20 @@
 
 // Config holds the settings and the dependencies of an Engine.
 type Config struct {
-	Settings      settings.Settings
-	Seed          uint64
-	Trunks        Trunks
-	Log           *slog.Logger
-	Origin        time.Time                     // zero of the engine's clock; before any time passed to the engine
-	ReleaseOrphan func(key string, cause Cause) // releases a call of an earlier process to its caller, may be nil
-	Took          func()                        // called at the first accepted request, may be nil
-	Reports       chan<- Counts                 // receives the totals periodically unless full; may be nil
+	Settings       settings.Settings
+	Seed           uint64
+	Trunks         Trunks
+	Log            *slog.Logger
+	Origin         time.Time                     // zero of the engine's clock; before any time passed to the engine
+	ReleaseOrphan  func(key string, cause Cause) // releases a call of an earlier process to its caller, may be nil
+	OnFirstRequest func()                        // called at the first accepted request, may be nil
+	Reports        chan<- Counts                 // receives the totals periodically unless full; may be nil
 
-	Storm     *storm.Storm         // detects and damps retry storms, nil for none
-	Changed   func(storm.Change)   // called at each change of a storm state, may be nil
-	Condition func(int, Condition) // called when the condition of an exchange changes, may be nil; must not block
+	Storm             *storm.Storm         // detects and damps retry storms, nil for none
+	OnStormChange     func(storm.Change)   // called at each change of a storm state, may be nil
+	OnConditionChange func(int, Condition) // called when the condition of an exchange changes, may be nil; must not block
 
-	MostBytes int64 // limit on the memory of requests that await a final answer, 0 for none
+	MaxBytes int64 // limit on the memory of requests that await a final answer, 0 for none
 
 	// Clock, if not nil, replaces the wall clock, and Step must be called instead of Run. All events are then handled
 	// in the calling goroutine, at the times of this clock.
@@ -96,13 +96,13 @@
 // New returns an Engine, or an error that names the invalid setting.
 func New(c Config) (*Engine, error) {
 	e := &Engine{Config: c, queue: make(chan func(), queueLength), done: make(chan struct{}),
-		wakeTimer: time.NewTimer(time.Hour), maxOpen: c.Settings.MostHeld, reportInterval: countsInterval,
+		wakeTimer: time.NewTimer(time.Hour), maxOpen: c.Settings.MaxOpenCalls, reportInterval: countsInterval,
 		classes: map[string]int{}, calls: map[string]*call{}, byID: map[brookmux.CallID]*call{},
 		switches: map[brookmux.SwitchID]brookmux.Switch{}, drained: make(chan struct{}),
 		setUpCounters: map[int]*setUpCounter{}, knownExchanges: map[int]bool{},
 		movedIDs: map[brookmux.SwitchID]brookmux.SwitchID{}, groupSizes: map[int]float64{}, published: map[int]Condition{}}
 	e.endedKeys = [2]map[string]struct{}{{}, {}}
-	e.maxBytes.Store(c.MostBytes)
+	e.maxBytes.Store(c.MaxBytes)
 	var err error
 	if e.ctl, err = brookmux.New(withReleaseMargin(c.Settings.Module), c.Seed, host{e}); err != nil {
 		return nil, fmt.Errorf("core: %w", err)
@@ -143,7 +143,7 @@
 // ConfigureLater is Configure without the wait. done receives the result in the owner's goroutine.
 func (e *Engine) ConfigureLater(s settings.Settings, maxBytes int64, done func(error)) {
 	e.post(func() {
-		next := s.After(e.Settings)
+		next := s.WithIndexesOf(e.Settings)
 		err := e.ctl.Configure(withReleaseMargin(next.Module))
 		if err == nil && e.Storm != nil {
 			err = e.Storm.Configure(StormConfig(e.Storm.Config, next))
@@ -311,8 +311,8 @@
 	}
 }
 
-// Listed applies a membership list, or a change to it, from discovery.
-func (e *Engine) Listed(m brookmux.Members) {
+// MembersChanged applies a membership list, or a change to it, from discovery.
+func (e *Engine) MembersChanged(m brookmux.Members) {
 	e.post(func() {
 		before := maps.Clone(e.switches)
 		if m.Kind != brookmux.Delta {
@@ -326,30 +326,30 @@
 			}
 			e.knownExchanges[s.Number] = true
 		}
-		e.ctl.Members(e.now, m)
+		e.ctl.MembersChanged(e.now, m)
 		e.publishConditions()
 		e.Config.Log.Debug("members", "kind", m.Kind, "switches", m.Switches, "now", e.now)
 	})
 }
 
 // Reported handles a report of a core that belongs to no call.
-func (e *Engine) Reported(from brookmux.SwitchID, r brookmux.Report, unasked bool) {
-	e.post(func() { e.applyReport(from, r, unasked) })
+func (e *Engine) Reported(from brookmux.SwitchID, r brookmux.Report, unsolicited bool) {
+	e.post(func() { e.applyReport(from, r, unsolicited) })
 }
 
 // applyReport passes a report to the module and keeps the size of the trunk group.
-func (e *Engine) applyReport(from brookmux.SwitchID, r brookmux.Report, unasked bool) {
+func (e *Engine) applyReport(from brookmux.SwitchID, r brookmux.Report, unsolicited bool) {
 	if s, ok := e.switches[from]; ok && r.Size >= 0 {
 		e.groupSizes[s.Number] = r.Size
 	}
-	e.ctl.Probed(e.now, brookmux.ProbeResult{Switch: from, OK: true, Unasked: unasked, Report: r})
+	e.ctl.Probed(e.now, brookmux.ProbeResult{Switch: from, OK: true, Unsolicited: unsolicited, Report: r})
 }
 
-// SetMostOpen sets the maximum number of calls that may await a final answer at a time; 0 means no limit.
-func (e *Engine) SetMostOpen(n int) { e.post(func() { e.maxOpen = n }) }
+// SetMaxOpenCalls sets the maximum number of calls that may await a final answer at a time; 0 means no limit.
+func (e *Engine) SetMaxOpenCalls(n int) { e.post(func() { e.maxOpen = n }) }
 
-// SetReportEvery sets the time between two reports of the totals; 0 or less means the default.
-func (e *Engine) SetReportEvery(d time.Duration) {
+// SetReportInterval sets the time between two reports of the totals; 0 or less means the default.
+func (e *Engine) SetReportInterval(d time.Duration) {
 	e.post(func() {
 		if d <= 0 {
 			d = countsInterval
--- a/internal/core/intake.go
+++ b/internal/core/intake.go
@@ -23,7 +23,7 @@
 		r.Description = nil
 		e.post(func() {
 			e.counts.Full++
-			r.Caller.Refuse(r.Key, Verdict{Wait: e.Settings.Module.MaxRetryAfter, Cause: Congestion, Why: "no memory"})
+			r.Caller.Refuse(r.Key, Verdict{Wait: e.Settings.Module.MaxRetryAfter, Cause: Congestion, Detail: "no memory"})
 		})
 		return
 	}
@@ -38,32 +38,32 @@
 func (e *Engine) accept(r Request, size int64) bool {
 	if e.draining() {
 		e.counts.Draining++
-		r.Caller.Refuse(r.Key, Verdict{Wait: e.Settings.Module.MaxRetryAfter, Cause: Congestion, Why: "draining"})
+		r.Caller.Refuse(r.Key, Verdict{Wait: e.Settings.Module.MaxRetryAfter, Cause: Congestion, Detail: "draining"})
 		return false
 	}
 	if reason := e.validateRequest(r); reason != "" {
 		e.counts.Invalid++
-		r.Caller.Refuse(r.Key, Verdict{Failed: true, Bad: true, Cause: NotImplemented, Why: reason})
+		r.Caller.Refuse(r.Key, Verdict{Failed: true, Invalid: true, Cause: NotImplemented, Detail: reason})
 		return false
 	}
 	if e.calls[r.Key] != nil || e.recentlyEnded(r.Key) {
 		// A caller that uses the id of another call must neither receive that call's answer nor divert it. The id of an
 		// ended call can't be used again: late messages of a core for the ended call must not reach a later one.
 		e.counts.Repeated++
-		r.Caller.Refuse(r.Key, Verdict{Failed: true, Bad: true, Cause: causeProtocolError, Why: "id is in use"})
+		r.Caller.Refuse(r.Key, Verdict{Failed: true, Invalid: true, Cause: causeProtocolError, Detail: "id is in use"})
 		return false
 	}
 	if !e.firstRequestSeen {
 		e.firstRequestSeen = true
-		if e.Took != nil {
-			e.Took()
+		if e.OnFirstRequest != nil {
+			e.OnFirstRequest()
 		}
 	}
 	e.lastID++
-	if maxLeft := e.Settings.Module.Classes[e.classes[r.Class]].Deadline; r.Left <= 0 || maxLeft > 0 && r.Left > maxLeft {
-		r.Left = maxLeft
+	if maxLeft := e.Settings.Module.Classes[e.classes[r.Class]].Deadline; r.Remaining <= 0 || maxLeft > 0 && r.Remaining > maxLeft {
+		r.Remaining = maxLeft
 	}
-	c := &call{Request: r, id: e.lastID, at: e.now, expires: e.now + r.Left - answerMargin, size: size}
+	c := &call{Request: r, id: e.lastID, at: e.now, expires: e.now + r.Remaining - answerMargin, size: size}
 	e.calls[r.Key], e.byID[c.id] = c, c
 	e.openCalls++
 	e.counts.Taken++
@@ -81,8 +81,8 @@
 	}
 	e.recordGuard("deadline", c)
 	e.releaseAttempt(c)
-	e.ctl.Left(e.now, c.id)
-	e.refuse(c, Verdict{Cause: TimerExpiry, Why: "deadline passed"})
+	e.ctl.CallEnded(e.now, c.id)
+	e.refuse(c, Verdict{Cause: TimerExpiry, Detail: "deadline passed"})
 }
 
 // Withdraw cancels a set-up on behalf of its caller, which gets no final answer then. done runs in the owner's
@@ -117,7 +117,7 @@
 // answer.
 func (e *Engine) abandon(c *call) {
 	e.releaseAttempt(c)
-	e.ctl.Left(e.now, c.id)
+	e.ctl.CallEnded(e.now, c.id)
 	e.close(c)
 }
 
@@ -142,8 +142,8 @@
 			a := c.current
 			e.Trunks.Release(a.to, key, cause)
 			e.counts.HungUp++
-			e.ctl.Ended(e.now, brookmux.Outcome{Call: c.id, Attempt: a.number, Switch: a.to,
-				Result: brookmux.ResultCancelled, Took: e.now - a.at, Over: true, Report: noReport})
+			e.ctl.AttemptEnded(e.now, brookmux.Outcome{Call: c.id, Attempt: a.number, Switch: a.to,
+				Result: brookmux.ResultCancelled, Elapsed: e.now - a.at, CallEnded: true, Report: noReport})
 			e.close(c)
 		case c != nil && c.Caller == caller: // a BYE that overtook the CANCEL
 			e.counts.Withdrawn++
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -25,9 +25,9 @@
 		a.timeout.stop()
 		a.stands = true
 		e.markAnswered(c)
-		c.Caller.Stands(key, description)
+		c.Caller.Answered(key, description)
 		e.logAttempt("stands", c, a, r)
-		e.ctl.Stands(e.now, brookmux.Stands{Call: c.id, Attempt: a.number, Took: e.now - a.at})
+		e.ctl.Answered(e.now, brookmux.Answer{Call: c.id, Attempt: a.number, Elapsed: e.now - a.at})
 	})
 }
 
@@ -37,12 +37,12 @@
 		from = e.currentID(from)
 		c := e.calls[key]
 		switch {
-		case c.hasAttemptAt(from) && !o.Elsewhere:
+		case c.hasAttemptAt(from) && !o.OtherConnection:
 			e.finishAttempt(c, o)
 		case c.endedUnresolved(from, o):
 			e.applyReport(from, o.Report, false)
 			e.releaseAttempt(c)
-			e.ctl.Left(e.now, c.id)
+			e.ctl.CallEnded(e.now, c.id)
 			e.answerUnresolved(c)
 		case c == nil && !e.recentlyEnded(key) && e.ReleaseOrphan != nil:
 			// Set up by an earlier process of this controller: its caller must still be notified of the end.
@@ -51,7 +51,7 @@
 			e.rememberEnded(key)
 			e.applyReport(from, o.Report, false)
 		default:
-			if o.Elsewhere {
+			if o.OtherConnection {
 				e.countIgnored(from, key, "release of a set-up of another connection")
 			}
 			e.applyReport(from, o.Report, false)
@@ -75,7 +75,7 @@
 		for _, k := range keys {
 			if c := e.calls[k]; c.hasAttemptAt(at) && (loss.Cut || !c.current.stands) &&
 				(loss.Before <= 0 || c.current.at < loss.Before) {
-				if loss.Unsure && c.current.stands {
+				if loss.MayStand && c.current.stands {
 					e.Trunks.Release(at, k, loss.Outcome.Cause)
 				}
 				if !c.current.stands && !loss.Cut && loss.Outcome.Result == brookmux.ResultReset {
@@ -146,8 +146,8 @@
 	if a.stands {
 		c.Caller.Release(c.Key, o.Cause)
 	}
-	e.ctl.Ended(e.now, brookmux.Outcome{Call: c.id, Attempt: a.number, Switch: a.to, Result: o.Result,
-		Reason: o.Reason, Took: e.now - a.at, Over: a.stands, Report: o.Report})
+	e.ctl.AttemptEnded(e.now, brookmux.Outcome{Call: c.id, Attempt: a.number, Switch: a.to, Result: o.Result,
+		Reason: o.Reason, Elapsed: e.now - a.at, CallEnded: a.stands, Report: o.Report})
 	switch {
 	case a.stands:
 		e.close(c)
@@ -161,7 +161,7 @@
 func (e *Engine) answerUnresolved(c *call) {
 	e.counts.Unresolved++
 	e.refuse(c, Verdict{Failed: !e.repeatable(c), Cause: TemporaryFailure,
-		Why: "call ended before its answer was received"})
+		Detail: "call ended before its answer was received"})
 }
 
 // repeatable reports whether a call that may already have been served can safely be requested again.
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -23,9 +23,9 @@
 	if rule := e.violatedRule(c, to); rule != "" {
 		e.recordGuard(rule, c)
 		e.deferred = append(e.deferred, func() {
-			e.ctl.Ended(e.now, brookmux.Outcome{Call: id, Attempt: number, Switch: to,
+			e.ctl.AttemptEnded(e.now, brookmux.Outcome{Call: id, Attempt: number, Switch: to,
 				Result: brookmux.ResultMoot, Report: noReport,
-				Reason: brookmux.ReasonHeldBack})
+				Reason: brookmux.ReasonNotSent})
 		})
 		return
 	}
@@ -62,7 +62,7 @@
 func (h host) Refuse(id brookmux.CallID, wait time.Duration) {
 	if c := h.e.byID[id]; c != nil {
 		h.e.refuse(c, h.e.withRetryAdvice(c, Verdict{Wait: wait, Cause: h.e.refusalCause(c),
-			Why: "rejected by the decision module"}))
+			Detail: "rejected by the decision module"}))
 	}
 }
 
@@ -77,7 +77,7 @@
 // Fail gives the final answer to a call that the module abandons.
 func (h host) Fail(id brookmux.CallID) {
 	if c := h.e.byID[id]; c != nil {
-		h.e.refuse(c, Verdict{Failed: true, Cause: TemporaryFailure, Why: "abandoned by the decision module"})
+		h.e.refuse(c, Verdict{Failed: true, Cause: TemporaryFailure, Detail: "abandoned by the decision module"})
 	}
 }
 
--- a/internal/core/send.go
+++ b/internal/core/send.go
@@ -15,7 +15,7 @@
 	c.current = a
 	a.timeout = e.schedule(timeout, func() { e.timedOut(c, a) })
 	e.counts.Sent++
-	e.Trunks.SetUp(to, Attempt{Key: c.Key, Class: c.Class, Number: c.Number, Left: timeout, Width: c.Width,
+	e.Trunks.SetUp(to, Attempt{Key: c.Key, Class: c.Class, Number: c.Number, Timeout: timeout, Width: c.Width,
 		Description: c.Description})
 }
 
--- a/internal/core/storms.go
+++ b/internal/core/storms.go
@@ -41,14 +41,14 @@
 	if c.countedByStorm = v.Admit(); c.countedByStorm {
 		return true
 	}
-	e.refuse(c, Verdict{Wait: v.Wait, Cause: Congestion, Level: e.Storm.Level(e.now, c.Destination), Why: v.Reason.String()})
+	e.refuse(c, Verdict{Wait: v.Wait, Cause: Congestion, Level: e.Storm.Level(e.now, c.Destination), Detail: v.Reason.String()})
 	return false
 }
 
-// Linked reports a new connection or association of a caller group.
-func (e *Engine) Linked(group string) {
+// CallerConnected reports a new connection or association of a caller group.
+func (e *Engine) CallerConnected(group string) {
 	if e.Storm != nil { // safe to read here: never changes after New
-		e.post(func() { e.Storm.Linked(e.now, e.hash(group)) })
+		e.post(func() { e.Storm.CallerConnected(e.now, e.hash(group)) })
 	}
 }
 
@@ -72,9 +72,9 @@
 	if c.answered {
 		return
 	}
-	e.ctl.Left(e.now, c.id)
+	e.ctl.CallEnded(e.now, c.id)
 	v := e.withRetryAdvice(c, Verdict{Failed: !e.repeatable(c), Wait: e.Settings.Module.MaxRetryAfter,
-		Cause: e.refusalCause(c), Why: why})
+		Cause: e.refusalCause(c), Detail: why})
 	e.refuse(c, v)
 }
 
@@ -85,9 +85,9 @@
 	}
 	c.countedByStorm = false
 	if a := c.current; a != nil && a.stands {
-		e.Storm.Stood(e.now, c.Destination, c.callerHash, e.now-a.at, e.switches[a.to].Number == c.Destination)
+		e.Storm.Answered(e.now, c.Destination, c.callerHash, e.now-a.at, e.switches[a.to].Number == c.Destination)
 	} else {
-		e.Storm.Over(e.now, c.Destination)
+		e.Storm.Unanswered(e.now, c.Destination)
 	}
 }
 
@@ -100,7 +100,7 @@
 	if o.Level > 0 {
 		e.Storm.Congested(e.now, c.Destination, o.Level)
 	}
-	full := o.Result == brookmux.ResultFull && o.Reason != brookmux.ReasonNoCircuit && o.Reason != brookmux.ReasonTurnedBack
+	full := o.Result == brookmux.ResultFull && o.Reason != brookmux.ReasonNoCircuit && o.Reason != brookmux.ReasonRejectedByTandem
 	// A reset indicates a broken connection, not a backlog: where answers get lost the core may be idle.
 	if full || o.Result == brookmux.ResultTimeout {
 		e.Storm.Failed(e.now, c.Destination)
@@ -113,11 +113,11 @@
 	if previous, known := before[s.ID]; e.Storm != nil && s.State == brookmux.Ready && e.warmShare(s) < 1 &&
 		(!known || previous.Since != s.Since) {
 		if s.Number != e.Settings.Module.Here {
-			e.Storm.Started(e.now, s.Number)
+			e.Storm.ProcessorStarted(e.now, s.Number)
 			return
 		}
 		for number := range e.knownExchanges { // every set-up passes the local processor
-			e.Storm.Started(e.now, number)
+			e.Storm.ProcessorStarted(e.now, number)
 		}
 	}
 }
@@ -125,8 +125,8 @@
 // tickStorm updates the storm states, logs each change and publishes changed conditions.
 func (e *Engine) tickStorm() {
 	for _, c := range e.Storm.Tick(e.now) {
-		if e.Changed != nil {
-			e.Changed(c)
+		if e.OnStormChange != nil {
+			e.OnStormChange(c)
 		}
 		e.Config.Log.Info("storm", "scope", c.Scope.Kind, "of", c.Scope.Name, "from", c.From.String(), "to", c.To.String(),
 			"cause", c.Cause, "offered", c.Offered, "usual", c.Usual, "redials", c.Redials, "links", c.Links)
@@ -135,9 +135,9 @@
 	e.schedule(stormInterval, e.tickStorm)
 }
 
-// publishConditions passes the conditions of exchanges that have changed to Config.Condition.
+// publishConditions passes the conditions of exchanges that have changed to Config.OnConditionChange.
 func (e *Engine) publishConditions() {
-	if e.Config.Condition == nil {
+	if e.Config.OnConditionChange == nil {
 		return
 	}
 	ready := map[int]bool{}
@@ -151,13 +151,14 @@
 		}
 		if e.published[number] != c {
 			e.published[number] = c
-			e.Config.Condition(number, c)
+			e.Config.OnConditionChange(number, c)
 		}
 	}
 }
 
-// Conditions publishes the conditions of all exchanges again, and returns when that is done or the engine has stopped.
-func (e *Engine) Conditions() {
+// RepublishConditions publishes the conditions of all exchanges again, and returns when that is done or the engine has
+// stopped.
+func (e *Engine) RepublishConditions() {
 	published := make(chan struct{})
 	e.post(func() {
 		clear(e.published)
--- a/internal/core/turnover_test.go
+++ b/internal/core/turnover_test.go
@@ -29,9 +29,9 @@
 // waitingCaller signals the end of its call on over.
 type waitingCaller struct{ over chan<- struct{} }
 
-func (c waitingCaller) Stands(string, []byte)  {}
-func (c waitingCaller) Refuse(string, Verdict) { c.over <- struct{}{} }
-func (c waitingCaller) Release(string, Cause)  { c.over <- struct{}{} }
+func (c waitingCaller) Answered(string, []byte) {}
+func (c waitingCaller) Refuse(string, Verdict)  { c.over <- struct{}{} }
+func (c waitingCaller) Release(string, Cause)   { c.over <- struct{}{} }
 
 // TestTurnover guards against leaks: after thousands of calls, and of cores that each have a new id, nothing remains in
 // the engine's tables but the bounded set of recently ended keys.
@@ -48,11 +48,11 @@
 	go func() { ended <- e.Run(ctx) }()
 	for i := range calls {
 		if i%10 == 0 {
-			e.Listed(brookmux.Members{Kind: brookmux.Full, Switches: []brookmux.Switch{
+			e.MembersChanged(brookmux.Members{Kind: brookmux.Full, Switches: []brookmux.Switch{
 				{ID: brookmux.SwitchID(i + 1), Number: 1, State: brookmux.Ready}}})
 		}
 		e.Offer(Request{Key: fmt.Sprintf("%016x", i), Class: "page", Number: "1", Destination: 1, Width: 1, Via: -1,
-			Left: time.Second, Caller: waitingCaller{over}})
+			Remaining: time.Second, Caller: waitingCaller{over}})
 		<-over
 	}
 	cancel()
--- a/internal/core/unresolved_test.go
+++ b/internal/core/unresolved_test.go
@@ -32,12 +32,12 @@
 // harnessCaller is the caller side of a harness.
 type harnessCaller struct{ *harness }
 
-func (a harnessCaller) Stands(string, []byte)      { a.stood++ }
+func (a harnessCaller) Answered(string, []byte)    { a.stood++ }
 func (a harnessCaller) Refuse(_ string, v Verdict) { a.refused = append(a.refused, v) }
 func (a harnessCaller) Release(_ string, _ Cause)  { a.over++ }
 func (h *harness) advance(step time.Duration)      { h.now += step; h.Step() }
 func (h *harness) normalEnd(elsewhere bool) Outcome {
-	return Outcome{Result: brookmux.ResultOK, Report: noReport, Cause: NormalClearing, Elsewhere: elsewhere}
+	return Outcome{Result: brookmux.ResultOK, Report: noReport, Cause: NormalClearing, OtherConnection: elsewhere}
 }
 
 // newHarness returns a harness with one core and one call, whose first attempt was lost with its connection.
@@ -50,8 +50,8 @@
 			Classes:     []brookmux.Class{{Aim: time.Second, Deadline: 9 * time.Second, Worth: 1}}}}})
 	require.NoError(t, err)
 	h.Engine = e
-	e.Listed(brookmux.Members{Kind: brookmux.Full, Switches: []brookmux.Switch{{ID: 1, Number: 1, State: brookmux.Ready}}})
-	e.Offer(Request{Key: "a1", Class: "page", Number: "1", Destination: 1, Width: 1, Via: -1, Left: 9 * time.Second,
+	e.MembersChanged(brookmux.Members{Kind: brookmux.Full, Switches: []brookmux.Switch{{ID: 1, Number: 1, State: brookmux.Ready}}})
+	e.Offer(Request{Key: "a1", Class: "page", Number: "1", Destination: 1, Width: 1, Via: -1, Remaining: 9 * time.Second,
 		Caller: harnessCaller{h}})
 	h.Step()
 	require.Len(t, h.sent, 1)
--- a/internal/corelink/connection.go
+++ b/internal/corelink/connection.go
@@ -114,7 +114,7 @@
 	p, found := c.pending[key]
 	if found {
 		delete(c.pending, key)
-		c.lease.SetUpOver(key)
+		c.lease.SetUpEnded(key)
 		c.closeIfRetired()
 	}
 	return p, found
@@ -192,7 +192,7 @@
 	open := make([]string, 0, len(c.pending))
 	for k := range c.pending {
 		open = append(open, k)
-		e.lease.SetUpOver(k)
+		e.lease.SetUpEnded(k)
 	}
 	unconfirmed := c.unconfirmed
 	c.unconfirmed = nil
@@ -271,7 +271,7 @@
 	}
 	c.messageReceived = true
 	c.received(now, e.statesSeen)
-	e.lease.Heard(c.id, e.pool.sinceOrigin(now), m.evidence())
+	e.lease.MessageReceived(c.id, e.pool.sinceOrigin(now), m.evidence())
 	setUp, openHere := c.pending[m.id]
 	elsewhere := e.pendingElsewhere(c, m.id)
 	if m.kind == kindAnswer || m.kind == kindRelease {
@@ -279,9 +279,9 @@
 	}
 	switch {
 	case m.kind == kindAnswer && openHere:
-		e.lease.Stands(m.id, setUp.width, c.id, e.pool.sinceOrigin(now))
+		e.lease.CallAnswered(m.id, setUp.width, c.id, e.pool.sinceOrigin(now))
 	case m.kind == kindRelease && !openHere:
-		e.lease.Over(m.id)
+		e.lease.CallEnded(m.id)
 	}
 	newReport := m.kind == kindState && !c.retired && e.claimLead(c)
 	if m.kind == kindState {
@@ -300,7 +300,7 @@
 		e.pool.events.Ignored(e.id(), m.id, "answer without an open set-up on its connection")
 	case m.kind == kindRelease:
 		o := m.outcome()
-		o.Elsewhere = elsewhere && !openHere
+		o.OtherConnection = elsewhere && !openHere
 		e.pool.events.Ended(e.id(), m.id, o)
 	case newReport:
 		e.pool.events.Reported(e.id(), m.report, true)
--- a/internal/corelink/endpoint.go
+++ b/internal/corelink/endpoint.go
@@ -81,7 +81,7 @@
 // lease. The lock is held.
 func (e *endpoint) handleRestart(since time.Duration) {
 	at := e.pool.Origin.Add(since)
-	e.lease.OverBefore(since)
+	e.lease.DropCallsBefore(since)
 	for c := range e.connections {
 		if c.connectedAt.Before(at) {
 			c.Close()
@@ -153,7 +153,7 @@
 // release sends a release at once or on the next connection. The release of an open set-up is sent on the connection of
 // the set-up; a set-up that waits for a connection is only dropped. The lock is held.
 func (e *endpoint) release(key string, cause core.Cause) {
-	e.lease.Over(key)
+	e.lease.CallEnded(key)
 	for i, a := range e.waiting {
 		if a.Key == key { // the set-up was never sent
 			e.waiting = append(e.waiting[:i], e.waiting[i+1:]...)
@@ -225,9 +225,9 @@
 		e.startCheck(d)
 	}
 	for _, x := range d.Expired {
-		e.pool.Log.Warn("core_lease_expired", "core", e.id(), "reason", x.Reason, "calls", len(x.Calls), "silent", x.Silent)
-		if x.Reason == liveness.ReasonSilent {
-			e.closeUnresponsiveSince(now.Add(-x.Silent))
+		e.pool.Log.Warn("core_lease_expired", "core", e.id(), "reason", x.Reason, "calls", len(x.Calls), "silent", x.UnresponsiveFor)
+		if x.Reason == liveness.ReasonExpired {
+			e.closeUnresponsiveSince(now.Add(-x.UnresponsiveFor))
 		}
 	}
 	return d.Expired
@@ -245,7 +245,7 @@
 // startCheck opens a new connection to check the core. It replaces an idle connection if there is one, and else opens
 // an additional one. The lock is held.
 func (e *endpoint) startCheck(d liveness.Decision) {
-	if d.Prove && e.replaceOne(d.Silent) || e.replaceOne(d.Idle) {
+	if d.ReplaceCarrying && e.replaceOne(d.Carrying) || e.replaceOne(d.Idle) {
 		return
 	}
 	if len(e.connections) < e.pool.Connections {
@@ -253,7 +253,7 @@
 		return
 	}
 	if e.extraConnections >= maxExtraConnections {
-		e.replaceOne(d.Silent)
+		e.replaceOne(d.Carrying)
 		return
 	}
 	e.extraConnections++
--- a/internal/corelink/message.go
+++ b/internal/corelink/message.go
@@ -55,7 +55,7 @@
 		return message{}, fmt.Errorf("line is not valid JSON: %w", err)
 	}
 	m := message{kind: string(v.GetStringBytes("type")), id: string(v.GetStringBytes("id")),
-		cause: core.Cause(v.GetInt("cause")), report: settings.NoReport(),
+		cause: core.Cause(v.GetInt("cause")), report: settings.EmptyReport(),
 		sdp: append([]byte(nil), v.GetStringBytes("sdp")...)}
 	fields := v.Get("fields")
 	switch {
@@ -85,7 +85,7 @@
 	for part := range strings.SplitSeq(text, ";") {
 		name, value, ok := strings.Cut(part, ":")
 		if f, err := strconv.ParseFloat(value, 64); ok && err == nil {
-			settings.Figure(r, strings.TrimSpace(name), f)
+			settings.SetReportValue(r, strings.TrimSpace(name), f)
 		}
 	}
 }
@@ -109,9 +109,9 @@
 	case "blocked":
 		o.Reason = brookmux.ReasonNoCircuit
 	case "bounced":
-		o.Reason = brookmux.ReasonTurnedBack
+		o.Reason = brookmux.ReasonRejectedByTandem
 	case "far_swamped":
-		o.Reason = brookmux.ReasonFarFull
+		o.Reason = brookmux.ReasonDestinationFull
 	case "swamped":
 		o.Reason = brookmux.ReasonProcessorFull
 	case "occupied":
@@ -130,7 +130,7 @@
 	b = append(b, `,"key":`...)
 	b = jsontext.Append(b, a.Number)
 	b = append(b, `,"left":"`...)
-	b = strconv.AppendInt(b, int64((a.Left+time.Millisecond-1)/time.Millisecond), 10)
+	b = strconv.AppendInt(b, int64((a.Timeout+time.Millisecond-1)/time.Millisecond), 10)
 	b = append(b, `"},"sdp":`...)
 	b = jsontext.Append(b, a.Description)
 	return append(b, "}\n"...)
--- a/internal/corelink/pool.go
+++ b/internal/corelink/pool.go
@@ -94,7 +94,7 @@
 	for id, list := range expired {
 		for _, x := range list {
 			// Only an unresponsive core may still have the calls.
-			p.events.Lost(id, x.Calls, core.Loss{Cut: true, Unsure: x.Reason == liveness.ReasonSilent, Outcome: lostOutcome})
+			p.events.Lost(id, x.Calls, core.Loss{Cut: true, MayStand: x.Reason == liveness.ReasonExpired, Outcome: lostOutcome})
 		}
 	}
 }
@@ -217,10 +217,10 @@
 }
 
 // lostOutcome is the outcome of set-ups and calls whose core or connection has ended.
-var lostOutcome = core.Outcome{Result: brookmux.ResultReset, Report: settings.NoReport(), Cause: core.TemporaryFailure}
+var lostOutcome = core.Outcome{Result: brookmux.ResultReset, Report: settings.EmptyReport(), Cause: core.TemporaryFailure}
 
 // notReachedOutcome is the outcome of a set-up for which no connection was available: it was never attempted at a core.
-var notReachedOutcome = core.Outcome{Result: brookmux.ResultConnectFailed, Report: settings.NoReport()}
+var notReachedOutcome = core.Outcome{Result: brookmux.ResultConnectFailed, Report: settings.EmptyReport()}
 
 // addCore adds an endpoint and starts its dialers. The lock is held.
 func (p *Pool) addCore(c Core) {
--- a/internal/corelink/pool_test.go
+++ b/internal/corelink/pool_test.go
@@ -57,7 +57,7 @@
 	const cores = 500
 	for i := range brookmux.SwitchID(cores) {
 		p.Update([]Core{{ID: i + 1, Addr: l.Addr().String()}})
-		p.SetUp(i+1, core.Attempt{Key: "0000000000000001", Left: time.Second})
+		p.SetUp(i+1, core.Attempt{Key: "0000000000000001", Timeout: time.Second})
 	}
 	p.Update(nil)
 	p.dialers.Wait()
@@ -98,7 +98,7 @@
 	p.Release(1, "000000000000000a", 16)
 	p.Release(1, "000000000000000b", 16)
 	time.Sleep(2 * maxPromptReleaseDelay)
-	p.SetUp(1, core.Attempt{Key: "000000000000000a", Left: time.Second})
+	p.SetUp(1, core.Attempt{Key: "000000000000000a", Timeout: time.Second})
 	lostKeys := func() []string {
 		events.mu.Lock()
 		defer events.mu.Unlock()
@@ -118,8 +118,8 @@
 		require.True(t, lines.Scan())
 		require.Equal(t, string(encodeCause(kindRelease, call, 16)), lines.Text()+"\n")
 	}
-	p.SetUp(1, core.Attempt{Key: "000000000000000a", Left: time.Second}) // too soon: the release was just sent
-	p.SetUp(1, core.Attempt{Key: "000000000000000c", Left: time.Second})
+	p.SetUp(1, core.Attempt{Key: "000000000000000a", Timeout: time.Second}) // too soon: the release was just sent
+	p.SetUp(1, core.Attempt{Key: "000000000000000c", Timeout: time.Second})
 	require.True(t, lines.Scan())
 	require.Contains(t, lines.Text(), "000000000000000c")
 	require.Equal(t, []string{"000000000000000a", "000000000000000a"}, lostKeys())
--- a/internal/datastore/commit.go
+++ b/internal/datastore/commit.go
@@ -25,20 +25,20 @@
 // Record is the stored form of a transaction: what it changed, who made it and when. A record is durable as a whole or
 // not at all. Records are numbered without gaps in the order in which they took effect.
 type Record struct {
-	N       uint64          `json:"n"` // the revision that it creates; every record creates one
-	Kind    Kind            `json:"kind"`
-	Of      uint64          `json:"of,omitempty"` // of a rollback or revert: the revision that it restores
-	Session SessionID       `json:"session,omitempty"`
-	User    string          `json:"user,omitempty"`
-	Via     string          `json:"via,omitempty"`
-	At      time.Time       `json:"at"`
-	Comment string          `json:"comment,omitempty"`
-	Timeout time.Duration   `json:"timeout,omitempty"` // of a confirmed commit, in nanoseconds; 0 for any other
-	Persist string          `json:"persist,omitempty"`
-	Before  uint64          `json:"before,omitempty"` // of a confirmed commit: the revision restored if it is not confirmed
-	Changes []schema.Change `json:"changes,omitempty"`
-	Items   []schema.Item   `json:"items,omitempty"`   // of a base: the content of running
-	Startup []schema.Item   `json:"startup,omitempty"` // of a base: the content of startup
+	Revision         uint64          `json:"n"` // the revision that it creates; every record creates one
+	Kind             Kind            `json:"kind"`
+	RestoredRevision uint64          `json:"of,omitempty"` // of a rollback or revert: the revision that it restores
+	Session          SessionID       `json:"session,omitempty"`
+	User             string          `json:"user,omitempty"`
+	Via              string          `json:"via,omitempty"`
+	At               time.Time       `json:"at"`
+	Comment          string          `json:"comment,omitempty"`
+	Timeout          time.Duration   `json:"timeout,omitempty"` // of a confirmed commit, in nanoseconds; 0 for any other
+	Persist          string          `json:"persist,omitempty"`
+	RevertTo         uint64          `json:"before,omitempty"` // of a confirmed commit: the revision restored if it is not confirmed
+	Changes          []schema.Change `json:"changes,omitempty"`
+	Items            []schema.Item   `json:"items,omitempty"`   // of a base: the content of running
+	Startup          []schema.Item   `json:"startup,omitempty"` // of a base: the content of startup
 }
 
 // Txn is a transaction in progress. The owner of the Store makes its Record durable between CheckReady and Complete;
@@ -76,7 +76,7 @@
 		return err
 	}
 	if s.inProgress != nil {
-		return newError(schema.InUse, "", "transaction %d is under way", s.inProgress.N)
+		return newError(schema.InUse, "", "transaction %d is under way", s.inProgress.Revision)
 	}
 	conf := s.pending
 	switch {
@@ -119,9 +119,9 @@
 		if t.Timeout = c.Timeout; t.Timeout <= 0 {
 			t.Timeout = defaultConfirmTimeout
 		}
-		t.Persist, t.Before = c.Persist, t.N-1
+		t.Persist, t.RevertTo = c.Persist, t.Revision-1
 		if s.pending != nil { // extends the pending commit: revert to the revision before the first one
-			t.Before = s.pending.revertTo
+			t.RevertTo = s.pending.revertTo
 		}
 	} else if s.pending != nil && len(t.Changes) == 0 {
 		t.Kind = KindConfirm
@@ -179,7 +179,7 @@
 		return nil, err
 	}
 	if s.inProgress != nil {
-		return nil, newError(schema.InUse, "", "transaction %d is under way", s.inProgress.N)
+		return nil, newError(schema.InUse, "", "transaction %d is under way", s.inProgress.Revision)
 	}
 	if to != Startup {
 		return nil, newError(schema.InvalidValue, "", "no datastore %q to copy to by a transaction", to)
@@ -209,7 +209,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t.Kind, t.Of = KindRollback, to
+	t.Kind, t.RestoredRevision = KindRollback, to
 	return t, nil
 }
 
@@ -228,7 +228,7 @@
 
 // startTxn creates a transaction and marks it as the one in progress. The caller has checked that there is no other.
 func (s *Store) startTxn(session Session, kind Kind, next *schema.Node, at time.Time) *Txn {
-	t := &Txn{Record: Record{N: s.lastRevision + 1, Kind: kind, Session: session.ID, User: session.User, Via: session.Via, At: at},
+	t := &Txn{Record: Record{Revision: s.lastRevision + 1, Kind: kind, Session: session.ID, User: session.User, Via: session.Via, At: at},
 		Old: s.running, New: next}
 	t.Changes = schema.Diff(t.Old, next)
 	s.inProgress = t
@@ -240,7 +240,7 @@
 // changes always pass: a revert must not depend on the observed state of the network.
 func (s *Store) CheckReady(t *Txn) error {
 	if s.inProgress != t {
-		return newError(schema.OperationFailed, "", "transaction %d is not under way", t.N)
+		return newError(schema.OperationFailed, "", "transaction %d is not under way", t.Revision)
 	}
 	if t.Kind == KindRevert || t.Kind == KindConfirm || t.Kind == KindStartup {
 		return nil
@@ -262,7 +262,7 @@
 // Complete puts a transaction in force. The caller has made its record durable.
 func (s *Store) Complete(t *Txn) error {
 	if s.inProgress != t {
-		return newError(schema.OperationFailed, "", "transaction %d is not under way", t.N)
+		return newError(schema.OperationFailed, "", "transaction %d is not under way", t.Revision)
 	}
 	s.inProgress = nil
 	s.install(t)
@@ -272,12 +272,12 @@
 // RevertFailed begins the transaction that reverts t, which was completed but could not be applied. It returns nil if
 // another transaction is in progress, t is not the last one, or the revision before it is not kept.
 func (s *Store) RevertFailed(t *Txn, at time.Time, reason string) *Txn {
-	if s.inProgress != nil || s.lastRevision != t.N || t.N <= s.minRevision {
+	if s.inProgress != nil || s.lastRevision != t.Revision || t.Revision <= s.minRevision {
 		return nil
 	}
-	s.pending = &confirmation{revertTo: t.N - 1}
+	s.pending = &confirmation{revertTo: t.Revision - 1}
 	if t.Timeout > 0 {
-		s.pending.revertTo = t.Before // a commit that was not applied can't be confirmed
+		s.pending.revertTo = t.RevertTo // a commit that was not applied can't be confirmed
 	}
 	return s.beginRevert(Session{Via: "system"}, at, KindRevert, reason)
 }
@@ -289,7 +289,7 @@
 		tree = s.running
 	}
 	t := s.startTxn(session, kind, tree, at)
-	t.Of, t.Comment = s.pending.revertTo, reason
+	t.RestoredRevision, t.Comment = s.pending.revertTo, reason
 	return t
 }
 
@@ -324,7 +324,7 @@
 // install applies a completed transaction to the datastores, the history and the pending confirmation.
 func (s *Store) install(t *Txn) {
 	r := t.Record
-	s.lastRevision = r.N
+	s.lastRevision = r.Revision
 	s.history = append(s.history, r)
 	if r.Kind == KindStartup {
 		s.startup = t.startup
@@ -335,7 +335,7 @@
 		s.discard()
 	}
 	if s.pending = nil; r.Timeout > 0 {
-		s.pending = &confirmation{revertTo: r.Before, session: r.Session, persist: r.Persist, deadline: r.At.Add(r.Timeout)}
+		s.pending = &confirmation{revertTo: r.RevertTo, session: r.Session, persist: r.Persist, deadline: r.At.Add(r.Timeout)}
 	}
 }
 
@@ -347,14 +347,14 @@
 	}
 	tree := s.running.Clone()
 	for _, r := range slices.Backward(s.history) {
-		if r.N <= n {
+		if r.Revision <= n {
 			break
 		}
 		if r.Kind == KindStartup {
 			continue
 		}
 		if err := tree.Patch(inverse(r.Changes)); err != nil {
-			return nil, fmt.Errorf("datastore: revision %d: %w", r.N, err)
+			return nil, fmt.Errorf("datastore: revision %d: %w", r.Revision, err)
 		}
 	}
 	return tree, nil
@@ -385,22 +385,22 @@
 // History returns a copy of the kept records, oldest first.
 func (s *Store) History() []Record { return slices.Clone(s.history) }
 
-// Tell adds the history to a tree, as the module brookmux-transactions defines it. A value that the model does not
-// allow, such as a comment with unsupported characters, is left out.
-func (s *Store) Tell(tree *schema.Node) {
+// AddHistory adds the history to a tree, as the module brookmux-transactions defines it. A value that the model does
+// not allow, such as a comment with unsupported characters, is left out.
+func (s *Store) AddHistory(tree *schema.Node) {
 	for _, r := range s.history {
-		prefix := fmt.Sprintf("/transactions/transaction[revision='%d']/", r.N)
+		prefix := fmt.Sprintf("/transactions/transaction[revision='%d']/", r.Revision)
 		for leaf, v := range map[string]string{"kind": string(r.Kind), "user": r.User, "via": r.Via, "comment": r.Comment,
 			"at": r.At.UTC().Format(time.RFC3339Nano), "changes": strconv.Itoa(len(r.Changes))} {
 			if v != "" {
 				_ = tree.Put(schema.Item{Path: prefix + leaf, Value: v}) // left out if the model does not allow it
 			}
 		}
-		if r.Of > 0 {
-			_ = tree.Put(schema.Item{Path: prefix + "of", Value: strconv.FormatUint(r.Of, 10)}) // a number is always valid here
+		if r.RestoredRevision > 0 {
+			_ = tree.Put(schema.Item{Path: prefix + "of", Value: strconv.FormatUint(r.RestoredRevision, 10)}) // a number is always valid here
 		}
 	}
 }
 
-// Last returns the number of the last completed transaction, which is the current revision.
-func (s *Store) Last() uint64 { return s.lastRevision }
+// LastRevision returns the number of the last completed transaction, which is the current revision.
+func (s *Store) LastRevision() uint64 { return s.lastRevision }
--- a/internal/datastore/datastore_test.go
+++ b/internal/datastore/datastore_test.go
@@ -29,13 +29,13 @@
 func newFixture(t require.TestingT, guards ...Guard) *fixture {
 	m, err := schema.Load(yang.Files)
 	require.NoError(t, err)
-	s, err := New(Config{Model: m, Keep: 4, Sessions: 4, Guards: guards})
+	s, err := New(Config{Model: m, Keep: 4, MaxSessions: 4, Guards: guards})
 	require.NoError(t, err)
 	return &fixture{Store: s, t: t, now: startTime}
 }
 
 func (b *fixture) openSession() SessionID {
-	x, err := b.Open("op", "test")
+	x, err := b.OpenSession("op", "test")
 	require.NoError(b.t, err)
 	return x.ID
 }
@@ -56,7 +56,7 @@
 	require.NoError(b.t, b.Complete(t))
 	if base, ok, err := b.Trim(); ok {
 		b.FinishTrim(base)
-		for b.records[0].N <= base.N {
+		for b.records[0].Revision <= base.Revision {
 			b.records = b.records[1:]
 		}
 		b.records = append([]Record{base}, b.records...)
@@ -70,10 +70,10 @@
 func (b *fixture) editAt(op Operation, path string, values ...string) Edit {
 	steps, err := schema.ParsePath(path)
 	require.NoError(b.t, err)
-	root := &Part{Def: b.Model.Root, Op: None}
+	root := &EditNode{Def: b.Model.Root, Op: None}
 	at := root
 	for i, s := range steps {
-		p := &Part{Def: at.Def.Child(s.Name), Path: path, Op: None}
+		p := &EditNode{Def: at.Def.Child(s.Name), Path: path, Op: None}
 		for _, k := range p.Def.Keys {
 			p.Keys = append(p.Keys, s.Keys[k])
 		}
@@ -83,7 +83,7 @@
 				p.Value = values[0]
 			}
 		}
-		at.Parts = append(at.Parts, p)
+		at.Children = append(at.Children, p)
 		at = p
 	}
 	return Edit{Root: root, OnError: RollbackOnError}
@@ -126,7 +126,7 @@
 	require.Equal(t, schema.OperationFailed, faultTag(b.Unlock(two, Candidate)))
 	require.NoError(t, b.setMaxWait(one, "7"))
 	require.Equal(t, "7", b.maxWait(Candidate))
-	require.Nil(t, b.Close(one, b.now), "the session ends while it holds the lock")
+	require.Nil(t, b.CloseSession(one, b.now), "the session ends while it holds the lock")
 	require.Empty(t, b.maxWait(Candidate), "its edits are discarded (RFC 6241, 8.3.5.2)")
 	require.NoError(t, b.setMaxWait(two, "2"))
 	three := b.openSession()
@@ -140,7 +140,7 @@
 	for range 2 {
 		b.openSession()
 	}
-	_, err = b.Open("op", "test")
+	_, err = b.OpenSession("op", "test")
 	require.Equal(t, schema.ResourceDenied, faultTag(err))
 	require.ErrorIs(t, b.setMaxWait(one, "3"), errNoSession)
 }
@@ -173,13 +173,13 @@
 	e.Test = TestOnly
 	require.NoError(t, b.Edit(id, e))
 	require.Empty(t, b.maxWait(Candidate))
-	two := b.editAt(Delete, entry).Root.Parts[0]
+	two := b.editAt(Delete, entry).Root.Children[0]
 	for _, c := range []struct {
 		on   ErrorOption
 		want string
 	}{{RollbackOnError, ""}, {StopOnError, ""}, {ContinueOnError, "5"}} {
 		e := b.editAt(Merge, leaf, "5")
-		e.OnError, e.Root.Parts = c.on, append([]*Part{two}, e.Root.Parts...)
+		e.OnError, e.Root.Children = c.on, append([]*EditNode{two}, e.Root.Children...)
 		require.Equal(t, schema.DataMissing, faultTag(b.Edit(id, e)))
 		require.Equal(t, c.want, b.maxWait(Candidate), c.on)
 	}
@@ -209,9 +209,9 @@
 			require.Nil(t, b.RevertExpired(b.now.Add(10*time.Minute-1)))
 			return b.finish(b.RevertExpired(b.now.Add(10*time.Minute)), nil)
 		}, "1"},
-		{"session", Commit{}, func(b *fixture, id SessionID) error { return b.finish(b.Close(id, b.now), nil) }, "1"},
+		{"session", Commit{}, func(b *fixture, id SessionID) error { return b.finish(b.CloseSession(id, b.now), nil) }, "1"},
 		{"session, kept", Commit{Persist: "p"}, func(b *fixture, id SessionID) error {
-			require.Nil(t, b.Close(id, b.now))
+			require.Nil(t, b.CloseSession(id, b.now))
 			return b.finish(b.Commit(b.openSession(), Commit{PersistID: "p"}, b.now))
 		}, "2"},
 		{"cancelled", Commit{}, func(b *fixture, id SessionID) error { return b.finish(b.Cancel(id, "", b.now)) }, "1"},
@@ -309,7 +309,7 @@
 	}
 	require.NoError(t, b.Replace(id, base()))
 	require.NoError(t, b.finish(b.Commit(id, Commit{}, b.now)))
-	d.Told(map[string]string{"2": "draining", "3": "gone"})
+	d.SetStates(map[string]string{"2": "draining", "3": "gone"})
 	for _, c := range []struct{ path, value, words string }{
 		{"/exchanges/exchange[number='2']/address", "10.0.0.9:5060", "exchange 2 has been told draining: it would get work at another address"},
 		{"/circuit-groups/group[a='1'][b='2']/size", "11", "exchange 2 has been told draining: it would get more circuits"},
@@ -334,11 +334,11 @@
 		require.ErrorContains(t, err, c.words)
 		require.Equal(t, schema.ResourceDenied, faultTag(b.Validate(Candidate)))
 	}
-	d.Told(nil)
+	d.SetStates(nil)
 	require.NoError(t, b.Validate(Candidate))
 	txn, err := b.Commit(id, Commit{}, b.now)
 	require.NoError(t, err)
-	d.Told(map[string]string{"2": "draining"})
+	d.SetStates(map[string]string{"2": "draining"})
 	require.Equal(t, schema.ResourceDenied, faultTag(b.CheckReady(txn)))
 	_, err = b.Commit(id, Commit{}, b.now)
 	require.Equal(t, schema.ResourceDenied, faultTag(err), "the first transaction has ended")
@@ -367,11 +367,11 @@
 			case 5:
 				_ = b.finish(b.Change(id, b.editAt(Merge, "/limits/max-callers", "1"+value), Commit{}, b.now))
 			case 6:
-				_ = b.finish(b.Rollback(id, b.Last()-uint64(min(b.Last(), 2)), b.now, ""))
+				_ = b.finish(b.Rollback(id, b.LastRevision()-uint64(min(b.LastRevision(), 2)), b.now, ""))
 			case 7:
 				require.NoError(t, b.finish(b.RevertExpired(b.now), nil))
 			case 8:
-				require.NoError(t, b.finish(b.Close(id, b.now), nil))
+				require.NoError(t, b.finish(b.CloseSession(id, b.now), nil))
 				ids = slices.DeleteFunc(ids, func(x SessionID) bool { return x == id })
 			case 9:
 				tree, err := b.Get(Candidate)
@@ -389,7 +389,7 @@
 		require.NoError(t, err)
 		_, pending := b.ConfirmDeadline()
 		require.Equal(t, pending, revert != nil)
-		require.Equal(t, b.Last(), restored.Last())
+		require.Equal(t, b.LastRevision(), restored.LastRevision())
 		require.Equal(t, b.running.Items(), restored.running.Items())
 		require.Equal(t, b.startup.Items(), restored.startup.Items())
 		if pending {
--- a/internal/datastore/drain.go
+++ b/internal/datastore/drain.go
@@ -10,9 +10,9 @@
 // changes from sending them new calls. The zero value is ready to use.
 type Drains struct{ states map[string]string }
 
-// Told replaces the recorded states. The map holds the state, "draining" or "gone", of each exchange that takes no new
-// calls, by exchange number.
-func (d *Drains) Told(list map[string]string) { d.states = list }
+// SetStates replaces the recorded states. The map holds the state, "draining" or "gone", of each exchange that takes no
+// new calls, by exchange number.
+func (d *Drains) SetStates(list map[string]string) { d.states = list }
 
 // Guard rejects a change that would send new calls to an exchange that is draining or gone: one that adds it or puts
 // it in service, changes its address, or gives it more circuits. The fault is resource-denied (RFC 6241) with the path
--- a/internal/datastore/edit.go
+++ b/internal/datastore/edit.go
@@ -41,24 +41,24 @@
 
 // Edit is a change requested by a session.
 type Edit struct {
-	Root    *Part // for the root of the tree; its Op is the default operation: Merge, Replace or None
+	Root    *EditNode // for the root of the tree; its Op is the default operation: Merge, Replace or None
 	Test    TestOption
 	OnError ErrorOption
 }
 
-// Part is one node of an edit with the parts below it. Keys and values are in canonical form.
-type Part struct {
-	Def   *schema.Def
-	Op    Operation
-	Keys  []string // of a list entry
-	Value string   // of a leaf or a leaf-list entry
-	Parts []*Part
-	Path  string // as given by the session, for error messages
+// EditNode is one node of an edit with the nodes below it. Keys and values are in canonical form.
+type EditNode struct {
+	Def      *schema.Def
+	Op       Operation
+	Keys     []string // of a list entry
+	Value    string   // of a leaf or a leaf-list entry
+	Children []*EditNode
+	Path     string // as given by the session, for error messages
 }
 
 // identity returns what distinguishes the part's node from siblings of the same name: its value or its keys.
-func (p *Part) identity() []string {
-	if p.Def.Leafy() {
+func (p *EditNode) identity() []string {
+	if p.Def.HasValue() {
 		return []string{p.Value}
 	}
 	return p.Keys
@@ -68,7 +68,7 @@
 func (e Edit) apply(root *schema.Node) []schema.Fault {
 	a := &applier{onError: e.OnError}
 	if e.Root.Op == Replace {
-		root.Drop()
+		root.RemoveSelf()
 	}
 	a.applyParts(root, e.Root)
 	return a.faults
@@ -90,14 +90,14 @@
 }
 
 // addFault records a part that failed, and reports whether to continue with the remaining parts.
-func (a *applier) addFault(tag schema.Tag, p *Part, message string) bool {
+func (a *applier) addFault(tag schema.Tag, p *EditNode, message string) bool {
 	a.faults = append(a.faults, schema.Fault{Tag: tag, Path: p.Path, Message: message})
 	return a.onError == ContinueOnError
 }
 
 // applyParts applies the parts below p to parent, the node of p. It reports whether to continue.
-func (a *applier) applyParts(parent *schema.Node, p *Part) bool {
-	for _, c := range p.Parts {
+func (a *applier) applyParts(parent *schema.Node, p *EditNode) bool {
+	for _, c := range p.Children {
 		if !a.applyPart(parent, c) {
 			return false
 		}
@@ -106,7 +106,7 @@
 }
 
 // applyPart applies one part below its parent's node. It reports whether to continue.
-func (a *applier) applyPart(parent *schema.Node, p *Part) bool {
+func (a *applier) applyPart(parent *schema.Node, p *EditNode) bool {
 	d := p.Def
 	if !d.Config {
 		return a.addFault(schema.InvalidValue, p, "it is state, and can't be set")
@@ -124,7 +124,7 @@
 			return a.addFault(schema.DataMissing, p, "it is not there")
 		}
 		if old != nil {
-			old.Drop()
+			old.RemoveSelf()
 		}
 		return true
 	case Create:
@@ -132,14 +132,14 @@
 			return a.addFault(schema.DataExists, p, "it is there already")
 		}
 	case Replace:
-		if old != nil && !d.Leafy() {
+		if old != nil && !d.HasValue() {
 			parent.Remove(old)
 		}
 	case None:
-		if old == nil && len(p.Parts) == 0 {
+		if old == nil && len(p.Children) == 0 {
 			return a.addFault(schema.DataMissing, p, "it is not there")
 		}
-		if d.Leafy() {
+		if d.HasValue() {
 			return true
 		}
 	}
@@ -155,10 +155,10 @@
 	}
 	ok := a.applyParts(n, p)
 	if n.Len() == 0 && d.Kind == schema.Container && !d.Presence && n.Parent != nil {
-		n.Drop() // an empty container without presence has no meaning (RFC 7950, 7.5.1)
+		n.RemoveSelf() // an empty container without presence has no meaning (RFC 7950, 7.5.1)
 	}
 	if p.Op == None && old == nil && n.Parent != nil && d.Kind == schema.List && n.Len() == len(d.Keys) {
-		n.Drop() // this entry was created only to reach nodes below it, and none were created
+		n.RemoveSelf() // this entry was created only to reach nodes below it, and none were created
 	}
 	return ok
 }
--- a/internal/datastore/restore.go
+++ b/internal/datastore/restore.go
@@ -26,23 +26,23 @@
 		return Record{}, false, err
 	}
 	startup := s.startup.Clone()
-	for i := len(s.history) - 1; i >= 0 && s.history[i].N > n; i-- {
+	for i := len(s.history) - 1; i >= 0 && s.history[i].Revision > n; i-- {
 		if r := s.history[i]; r.Kind == KindStartup {
 			if err := startup.Patch(inverse(r.Changes)); err != nil {
-				return Record{}, false, fmt.Errorf("datastore: startup of revision %d: %w", r.N, err)
+				return Record{}, false, fmt.Errorf("datastore: startup of revision %d: %w", r.Revision, err)
 			}
 		}
 	}
-	return Record{N: n, Kind: KindBase, At: s.history[0].At, Items: running.Items(), Startup: startup.Items()}, true, nil
+	return Record{Revision: n, Kind: KindBase, At: s.history[0].At, Items: running.Items(), Startup: startup.Items()}, true, nil
 }
 
 // FinishTrim drops the records that the base replaces from the history.
 func (s *Store) FinishTrim(base Record) {
-	for len(s.history) > 0 && s.history[0].N <= base.N {
+	for len(s.history) > 0 && s.history[0].Revision <= base.Revision {
 		s.history = s.history[1:]
 	}
 	s.history = append([]Record(nil), s.history...)
-	s.minRevision = base.N
+	s.minRevision = base.Revision
 }
 
 // Restore replays stored records, in their order, into a new Store. If the last commit was still pending, Restore
@@ -52,15 +52,15 @@
 	for i, r := range records {
 		if r.Kind == KindBase {
 			if i > 0 {
-				return nil, fmt.Errorf("datastore: base record %d is not the first record", r.N)
+				return nil, fmt.Errorf("datastore: base record %d is not the first record", r.Revision)
 			}
 			if err := s.restoreBase(r); err != nil {
 				return nil, err
 			}
 			continue
 		}
-		if r.N != s.lastRevision+1 {
-			return nil, fmt.Errorf("datastore: record %d follows record %d", r.N, s.lastRevision)
+		if r.Revision != s.lastRevision+1 {
+			return nil, fmt.Errorf("datastore: record %d follows record %d", r.Revision, s.lastRevision)
 		}
 		t := &Txn{Record: r, Old: s.running, resetsCandidate: true}
 		tree := s.running
@@ -69,7 +69,7 @@
 		}
 		next := tree.Clone()
 		if err := next.Patch(r.Changes); err != nil {
-			return nil, fmt.Errorf("datastore: record %d: %w", r.N, err)
+			return nil, fmt.Errorf("datastore: record %d: %w", r.Revision, err)
 		}
 		if r.Kind == KindStartup {
 			t.startup = next
@@ -92,11 +92,11 @@
 	}{{s.running, r.Items}, {s.startup, r.Startup}} {
 		for _, i := range x.items {
 			if err := x.tree.Put(i); err != nil {
-				return fmt.Errorf("datastore: base %d: %w", r.N, err)
+				return fmt.Errorf("datastore: base %d: %w", r.Revision, err)
 			}
 		}
 	}
-	s.lastRevision, s.minRevision = r.N, r.N
+	s.lastRevision, s.minRevision = r.Revision, r.Revision
 	s.discard()
 	return nil
 }
--- a/internal/datastore/store.go
+++ b/internal/datastore/store.go
@@ -59,11 +59,11 @@
 
 // Config holds the parameters of a Store.
 type Config struct {
-	Model    *schema.Model
-	Keep     int // minimum number of past revisions that stay available
-	Sessions int // maximum number open at the same time
-	Guards   []Guard
-	Access   Access // nil: every session may change everything
+	Model       *schema.Model
+	Keep        int // minimum number of past revisions that stay available
+	MaxSessions int // maximum number open at the same time
+	Guards      []Guard
+	Access      Access // nil: every session may change everything
 }
 
 // Access returns a fault for each of the changes from old to next that the session may not make. The access rules are
@@ -90,16 +90,16 @@
 
 // New returns a Store with empty datastores. Restore fills it from stored records.
 func New(c Config) (*Store, error) {
-	if c.Model == nil || c.Keep < 1 || c.Sessions < 1 {
-		return nil, errors.New("datastore: a model is needed, and Keep and Sessions must be at least 1")
+	if c.Model == nil || c.Keep < 1 || c.MaxSessions < 1 {
+		return nil, errors.New("datastore: a model is needed, and Keep and MaxSessions must be at least 1")
 	}
 	return &Store{Config: c, running: c.Model.NewTree(), candidate: c.Model.NewTree(), startup: c.Model.NewTree(),
 		sessions: map[SessionID]Session{}, locks: map[Target]SessionID{}}, nil
 }
 
-// Open opens a session, unless Config.Sessions are open already.
-func (s *Store) Open(user, via string) (Session, error) {
-	if len(s.sessions) >= s.Sessions {
+// OpenSession opens a session, unless Config.MaxSessions are open already.
+func (s *Store) OpenSession(user, via string) (Session, error) {
+	if len(s.sessions) >= s.MaxSessions {
 		return Session{}, newError(schema.ResourceDenied, "", "%d sessions are open", len(s.sessions))
 	}
 	for s.lastSession++; s.lastSession == 0 || s.sessions[s.lastSession].ID != 0; s.lastSession++ {
@@ -109,10 +109,10 @@
 	return x, nil
 }
 
-// Close ends a session for whatever reason. It releases the session's locks and discards the edits of a candidate that
-// the session had locked (RFC 6241, 8.3.5.2). If the session has a pending commit without a persist value, Close begins
-// and returns the transaction that reverts it (8.4.1); otherwise it returns nil.
-func (s *Store) Close(id SessionID, at time.Time) *Txn {
+// CloseSession ends a session for whatever reason. It releases the session's locks and discards the edits of a
+// candidate that the session had locked (RFC 6241, 8.3.5.2). If the session has a pending commit without a persist
+// value, CloseSession begins and returns the transaction that reverts it (8.4.1); otherwise it returns nil.
+func (s *Store) CloseSession(id SessionID, at time.Time) *Txn {
 	closed, ok := s.sessions[id]
 	if !ok {
 		return nil
@@ -262,8 +262,8 @@
 	return next, &Error{Faults: faults}
 }
 
-// Try applies and validates an edit on a copy of running and returns its error. It changes nothing.
-func (s *Store) Try(id SessionID, e Edit) error {
+// TestEdit applies and validates an edit on a copy of running and returns its error. It changes nothing.
+func (s *Store) TestEdit(id SessionID, e Edit) error {
 	if err := s.checkLock(id, Running); err != nil {
 		return err
 	}
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -58,9 +58,9 @@
 	return brookmux.SwitchID(n), nil
 }
 
-// Known applies the events of a configuration in order and returns the resulting list. An event that is marked complete
-// replaces the list; others update it.
-func (r Reader) Known(v *fastjson.Value) (List, error) {
+// ParseEvents applies the events of a configuration in order and returns the resulting list. An event that is marked
+// complete replaces the list; others update it.
+func (r Reader) ParseEvents(v *fastjson.Value) (List, error) {
 	l := List{Serial: uint32(v.GetUint("rev"))}
 	byID := map[brookmux.SwitchID]Entry{}
 	for _, n := range v.GetArray("notices") {
@@ -199,17 +199,17 @@
 	return out
 }
 
-// Merge combines the lists of several sources into one. Told must be set before the first Set. Set may be called from
-// any goroutine.
-type Merge struct {
-	Told func(brookmux.Members) // receives the combined list after each change, in order, with the lock held
+// Merger combines the lists of several sources into one. OnChange must be set before the first Set. Set may be called
+// from any goroutine.
+type Merger struct {
+	OnChange func(brookmux.Members) // receives the combined list after each change, in order, with the lock held
 
 	mu    sync.Mutex
 	parts map[string][]brookmux.Switch
 }
 
-// Set replaces the list of a source and passes the combined list, ordered by source name, to Told.
-func (m *Merge) Set(source string, kind brookmux.ListKind, list []brookmux.Switch) {
+// Set replaces the list of a source and passes the combined list, ordered by source name, to OnChange.
+func (m *Merger) Set(source string, kind brookmux.ListKind, list []brookmux.Switch) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.parts == nil {
@@ -220,5 +220,5 @@
 	for _, name := range slices.Sorted(maps.Keys(m.parts)) {
 		all.Switches = append(all.Switches, m.parts[name]...)
 	}
-	m.Told(all)
+	m.OnChange(all)
 }
--- a/internal/directory/service.go
+++ b/internal/directory/service.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// Take passes a list on if its serial number is greater than that of the current list, and reports whether it was.
-func (s *Service) Take(l List) bool {
+// Update passes a list on if its serial number is greater than that of the current list, and reports whether it was.
+func (s *Service) Update(l List) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if l.Serial <= s.serial { // answers may arrive out of order, and a service may send an old list
@@ -163,7 +163,7 @@
 	s.mu.Unlock()
 	id, list, err := reader.ParseAnswer(packet)
 	if s.recordAnswer(from, id, err) {
-		s.Take(list)
+		s.Update(list)
 	}
 	s.wake()
 }
--- a/internal/intent/intent.go
+++ b/internal/intent/intent.go
@@ -112,9 +112,9 @@
 	return out
 }
 
-// Settings returns the platform's settings with the configured values in their place. It does not modify the classes of
-// s. A class that the platform does not have, or a width other than the platform's, is an error.
-func Settings(s settings.Settings, tree *schema.Node) (settings.Settings, error) {
+// ApplySettings returns the platform's settings with the configured values in their place. It does not modify the
+// classes of s. A class that the platform does not have, or a width other than the platform's, is an error.
+func ApplySettings(s settings.Settings, tree *schema.Node) (settings.Settings, error) {
 	s.Module.Classes = slices.Clone(s.Module.Classes)
 	if list := tree.Get("classes"); list != nil {
 		for _, x := range list.Children() {
@@ -135,7 +135,7 @@
 	}
 	if l := tree.Get("limits"); l != nil {
 		if v, ok := leafNumber(l, "max-open-calls"); ok {
-			s.MostHeld = int(v)
+			s.MaxOpenCalls = int(v)
 		}
 		if v, ok := leafNumber(l, "max-wait"); ok && s.Module.RetryAfter {
 			s.Module.MaxRetryAfter = settings.MS(v)
@@ -144,8 +144,8 @@
 	return s, nil
 }
 
-// Callers returns the maximum number of callers' connections: the configured limit, but no more than maxCallers.
-func Callers(tree *schema.Node, maxCallers int) int {
+// MaxCallers returns the maximum number of callers' connections: the configured limit, but no more than maxCallers.
+func MaxCallers(tree *schema.Node, maxCallers int) int {
 	if l := tree.Get("limits"); l != nil {
 		if v, ok := leafNumber(l, "max-callers"); ok {
 			return min(maxCallers, int(v))
@@ -160,10 +160,10 @@
 	Address string
 }
 
-// Word is the origin of an exchange's state in force, with its state in the membership list.
-type Word struct {
+// ExchangeOrigin is the origin of an exchange's state in force, with its state in the membership list.
+type ExchangeOrigin struct {
 	Origin Origin
-	Told   string // state in the membership list: ready, draining or gone; empty if the list gives none
+	Listed string // state in the membership list: ready, draining or gone; empty if the list gives none
 }
 
 // placedCore is a core known from the configuration. The same exchange at another address is another core.
@@ -172,17 +172,17 @@
 	drainUntil time.Duration // when a removed core is dropped; 0 while it is configured
 }
 
-// Placer combines the cores that operators have configured with those in the membership list. The zero value is ready to
-// use. It is not safe for concurrent use.
-type Placer struct {
+// Merger combines the cores that operators have configured with those in the membership list. The zero value is ready
+// to use. It is not safe for concurrent use.
+type Merger struct {
 	configured map[int]Exchange
 	cores      []placedCore
 	listed     map[int]bool // by exchange number: true if listed now, false if listed earlier
 }
 
-// Want replaces the configured exchanges. At the start of the program their cores count as started long ago; later, a
-// new core counts as started now, as it is not known to be warm. Cores no longer configured drain.
-func (p *Placer) Want(now time.Duration, list []Exchange, atStart bool) {
+// SetConfigured replaces the configured exchanges. At the start of the program their cores count as started long ago;
+// later, a new core counts as started now, as it is not known to be warm. Cores no longer configured drain.
+func (p *Merger) SetConfigured(now time.Duration, list []Exchange, atStart bool) {
 	p.configured = map[int]Exchange{}
 	for _, x := range list {
 		p.configured[x.Number] = x
@@ -209,7 +209,7 @@
 
 // id derives a core's id from the exchange number and address, so that it is the same after each start. It is unique
 // among the placed cores, and not 0.
-func (p *Placer) id(x Exchange) brookmux.SwitchID {
+func (p *Merger) id(x Exchange) brookmux.SwitchID {
 	h := fnv.New32a()
 	_, _ = fmt.Fprintf(h, "%d %s", x.Number, x.Address) // never fails, see hash.Hash
 	id := brookmux.SwitchID(h.Sum32())
@@ -219,19 +219,19 @@
 	return id
 }
 
-// Place combines the listed and the configured cores. It returns the listed cores with the states in force, the cores
+// Merge combines the listed and the configured cores. It returns the listed cores with the states in force, the cores
 // that only operators have configured, the origin of each exchange's state by exchange number, and the time at which to
-// call Place again (0: at the next change).
-func (p *Placer) Place(now time.Duration, listed []brookmux.Switch) (all []brookmux.Switch, unlisted []Core, origins map[int]Word, next time.Duration) {
+// call Merge again (0: at the next change).
+func (p *Merger) Merge(now time.Duration, listed []brookmux.Switch) (all []brookmux.Switch, unlisted []Core, origins map[int]ExchangeOrigin, next time.Duration) {
 	p.cores = slices.DeleteFunc(p.cores, func(k placedCore) bool { return k.drainUntil > 0 && k.drainUntil <= now })
-	origins = map[int]Word{}
+	origins = map[int]ExchangeOrigin{}
 	listedIDs := map[brookmux.SwitchID]bool{}
 	for _, s := range listed {
-		origin := Word{Learned, map[brookmux.SwitchState]string{brookmux.Ready: "ready", brookmux.Draining: "draining"}[s.State]}
+		origin := ExchangeOrigin{Learned, map[brookmux.SwitchState]string{brookmux.Ready: "ready", brookmux.Draining: "draining"}[s.State]}
 		if x, ok := p.configured[s.Number]; ok && x.State == brookmux.Draining && s.State == brookmux.Ready {
 			s.State, origin.Origin = brookmux.Draining, Intended
 		}
-		if old, ok := origins[s.Number]; !ok || old.Told != "ready" {
+		if old, ok := origins[s.Number]; !ok || old.Listed != "ready" {
 			origins[s.Number] = origin
 		}
 		listedIDs[s.ID] = true
@@ -249,12 +249,12 @@
 	}
 	for n, listedNow := range p.listed {
 		if _, configured := p.configured[n]; configured && !listedNow {
-			origins[n] = Word{Learned, "gone"}
+			origins[n] = ExchangeOrigin{Learned, "gone"}
 		}
 	}
 	for _, k := range p.cores {
 		_, isListed := origins[k.Number]
-		if isListed && origins[k.Number].Told != "" || listedIDs[k.ID] {
+		if isListed && origins[k.Number].Listed != "" || listedIDs[k.ID] {
 			continue // the list takes precedence
 		}
 		c := k.Core
@@ -267,7 +267,7 @@
 	}
 	for _, c := range unlisted {
 		if _, ok := p.configured[c.Number]; ok { // not a removed one that is draining
-			origins[c.Number] = Word{Origin: Intended}
+			origins[c.Number] = ExchangeOrigin{Origin: Intended}
 		}
 	}
 	return all, unlisted, origins, next
--- a/internal/intent/intent_test.go
+++ b/internal/intent/intent_test.go
@@ -31,33 +31,33 @@
 func TestPlace(t *testing.T) {
 	listed := []brookmux.Switch{{ID: 1, Number: 1, State: brookmux.Ready}, {ID: 2, Number: 2, State: brookmux.Draining},
 		{ID: 3, Number: 3, State: brookmux.Ready}}
-	p := &Placer{}
+	p := &Merger{}
 	configured := []Exchange{{1, "a:1", 0, brookmux.Draining, 0}, {2, "b:1", 0, brookmux.Ready, 0}, {8, "h:1", 1, brookmux.Ready, 0}}
-	p.Want(time.Hour, configured, true)
-	all, cores, origins, next := p.Place(time.Hour, listed)
+	p.SetConfigured(time.Hour, configured, true)
+	all, cores, origins, next := p.Merge(time.Hour, listed)
 	require.Equal(t, []brookmux.SwitchState{brookmux.Draining, brookmux.Draining, brookmux.Ready},
 		[]brookmux.SwitchState{all[0].State, all[1].State, all[2].State})
-	require.Equal(t, map[int]Word{1: {Intended, "ready"}, 2: {Learned, "draining"}, 3: {Learned, "ready"}, 8: {Intended, ""}}, origins)
+	require.Equal(t, map[int]ExchangeOrigin{1: {Intended, "ready"}, 2: {Learned, "draining"}, 3: {Learned, "ready"}, 8: {Intended, ""}}, origins)
 	require.Len(t, cores, 1)
 	require.Equal(t, brookmux.Switch{ID: cores[0].ID, Number: 8, Zone: 1, State: brookmux.Ready}, cores[0].Switch)
 	require.Zero(t, next)
 
-	p.Want(2*time.Hour, append(configured[:2:2], Exchange{8, "h:2", 1, brookmux.Ready, 0}), false)
-	_, moved, _, next := p.Place(2*time.Hour, listed)
+	p.SetConfigured(2*time.Hour, append(configured[:2:2], Exchange{8, "h:2", 1, brookmux.Ready, 0}), false)
+	_, moved, _, next := p.Merge(2*time.Hour, listed)
 	require.Len(t, moved, 2, "the old one drains")
 	require.Equal(t, brookmux.Draining, moved[0].State)
 	require.Equal(t, cores[0].ID, moved[0].ID)
 	require.NotEqual(t, moved[0].ID, moved[1].ID, "another address is another core")
 	require.Equal(t, 2*time.Hour, moved[1].Since, "a new core is not known to be warm")
 	require.Equal(t, 2*time.Hour+DrainAfterRemoval, next)
-	p.Want(2*time.Hour+DrainAfterRemoval/2, configured, false)
-	_, moved, _, _ = p.Place(2*time.Hour+DrainAfterRemoval/2, listed)
+	p.SetConfigured(2*time.Hour+DrainAfterRemoval/2, configured, false)
+	_, moved, _, _ = p.Merge(2*time.Hour+DrainAfterRemoval/2, listed)
 	require.Equal(t, []brookmux.SwitchState{brookmux.Ready, brookmux.Draining}, []brookmux.SwitchState{moved[0].State, moved[1].State})
-	p.Want(3*time.Hour, nil, false)
-	_, moved, origins, _ = p.Place(3*time.Hour+DrainAfterRemoval, listed)
+	p.SetConfigured(3*time.Hour, nil, false)
+	_, moved, origins, _ = p.Merge(3*time.Hour+DrainAfterRemoval, listed)
 	require.Empty(t, moved)
 	require.NotContains(t, origins, 8)
-	_, moved, _, _ = p.Place(3*time.Hour+DrainAfterRemoval, append(listed, brookmux.Switch{ID: 8, Number: 8, State: brookmux.Ready}))
+	_, moved, _, _ = p.Merge(3*time.Hour+DrainAfterRemoval, append(listed, brookmux.Switch{ID: 8, Number: 8, State: brookmux.Ready}))
 	require.Empty(t, moved, "the list takes precedence")
 }
 
@@ -65,42 +65,42 @@
 // listed again.
 func TestGone(t *testing.T) {
 	listed := []brookmux.Switch{{ID: 1, Number: 1, State: brookmux.Ready}, {ID: 2, Number: 2, State: brookmux.Ready}}
-	p := &Placer{}
-	p.Want(time.Hour, []Exchange{{2, "b:1", 0, brookmux.Ready, 0}}, true)
-	_, cores, _, _ := p.Place(time.Hour, listed)
+	p := &Merger{}
+	p.SetConfigured(time.Hour, []Exchange{{2, "b:1", 0, brookmux.Ready, 0}}, true)
+	_, cores, _, _ := p.Merge(time.Hour, listed)
 	require.Empty(t, cores)
 	for range 2 { // the second time after a new commit
-		_, cores, origins, _ := p.Place(time.Hour, listed[:1])
+		_, cores, origins, _ := p.Merge(time.Hour, listed[:1])
 		require.Empty(t, cores, "no new calls to an exchange that has gone from the list")
-		require.Equal(t, Word{Learned, "gone"}, origins[2])
-		p.Want(2*time.Hour, []Exchange{{2, "b:2", 0, brookmux.Ready, 0}}, false)
+		require.Equal(t, ExchangeOrigin{Learned, "gone"}, origins[2])
+		p.SetConfigured(2*time.Hour, []Exchange{{2, "b:2", 0, brookmux.Ready, 0}}, false)
 	}
-	all, cores, origins, _ := p.Place(3*time.Hour, listed)
+	all, cores, origins, _ := p.Merge(3*time.Hour, listed)
 	require.Len(t, all, 2)
 	require.Empty(t, cores)
-	require.Equal(t, Word{Learned, "ready"}, origins[2])
+	require.Equal(t, ExchangeOrigin{Learned, "ready"}, origins[2])
 }
 
 // TestSettings checks that configured values replace the platform's settings, and that values that only the platform
 // determines are rejected.
 func TestSettings(t *testing.T) {
-	base := settings.Settings{ClassNames: []string{"page", "update"}, Widths: []float64{2, 1}, MostHeld: 100, Zones: []string{"east"}}
+	base := settings.Settings{ClassNames: []string{"page", "update"}, Widths: []float64{2, 1}, MaxOpenCalls: 100, Zones: []string{"east"}}
 	base.Module.Classes = []brookmux.Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}, {Aim: 1}}
 	base.Module.RetryAfter, base.Module.MaxRetryAfter = true, time.Second
 	const page = "/classes/class[name='page']/"
 	const set = page + "aim = 1500\n" + page + "deadline = 4000\n" + page + "worth = 2\n" + page + "late-worth = 0.5\n" + page + "width = 2\n"
-	got, err := Settings(base, newTree(t, set+"/limits/max-wait = 0\n/limits/max-open-calls = 7\n/limits/max-callers = 5"))
+	got, err := ApplySettings(base, newTree(t, set+"/limits/max-wait = 0\n/limits/max-open-calls = 7\n/limits/max-callers = 5"))
 	require.NoError(t, err)
 	require.Equal(t, brookmux.Class{Aim: 1500 * time.Millisecond, Deadline: 4 * time.Second, Worth: 2, LateWorth: 0.25}, got.Module.Classes[0])
 	require.Equal(t, base.Module.Classes[1], got.Module.Classes[1])
 	require.Equal(t, time.Second, base.Module.Classes[0].Aim, "the platform's settings are not modified")
-	require.Equal(t, 7, got.MostHeld)
+	require.Equal(t, 7, got.MaxOpenCalls)
 	require.Zero(t, got.Module.MaxRetryAfter)
-	require.Equal(t, 5, Callers(newTree(t, "/limits/max-callers = 5"), 80))
-	require.Equal(t, 4, Callers(newTree(t, "/limits/max-callers = 5"), 4))
-	_, err = Settings(base, newTree(t, strings.ReplaceAll(set, "page", "other")))
+	require.Equal(t, 5, MaxCallers(newTree(t, "/limits/max-callers = 5"), 80))
+	require.Equal(t, 4, MaxCallers(newTree(t, "/limits/max-callers = 5"), 4))
+	_, err = ApplySettings(base, newTree(t, strings.ReplaceAll(set, "page", "other")))
 	require.ErrorContains(t, err, "/classes/class[name='other']: the platform has no class")
-	_, err = Settings(base, newTree(t, strings.ReplaceAll(set, "width = 2", "width = 3")))
+	_, err = ApplySettings(base, newTree(t, strings.ReplaceAll(set, "width = 2", "width = 3")))
 	require.ErrorContains(t, err, "take 2 circuits")
 	const x = "/exchanges/exchange[number='4']/"
 	_, err = Exchanges(newTree(t, x+"zone = west\n"+x+"address = 10.0.0.4:1"), base.Zones)
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -164,8 +164,8 @@
 		if err := json.Unmarshal(value[checksumSize:], &r); err != nil {
 			return nil, fmt.Errorf("record %d: %w", n, err)
 		}
-		if r.N != n {
-			return nil, fmt.Errorf("record %d is damaged: it contains the number %d", n, r.N)
+		if r.Revision != n {
+			return nil, fmt.Errorf("record %d is damaged: it contains the number %d", n, r.Revision)
 		}
 		records = append(records, r)
 	}
@@ -227,7 +227,7 @@
 	}
 	last := uint64(0)
 	if len(records) > 0 {
-		last = records[len(records)-1].N
+		last = records[len(records)-1].Revision
 	}
 	if n := binary.BigEndian.Uint64(b[checksumSize:]); n > last {
 		return fmt.Errorf("record %d was acknowledged, and the last that can be read is %d: the log is damaged", n, last)
@@ -251,12 +251,12 @@
 func encode(r datastore.Record) (k, value []byte, err error) {
 	payload, err := json.Marshal(r)
 	if err != nil {
-		return nil, nil, fmt.Errorf("journal: record %d: %w", r.N, err)
+		return nil, nil, fmt.Errorf("journal: record %d: %w", r.Revision, err)
 	}
 	if len(payload) > maxRecordBytes {
-		return nil, nil, fmt.Errorf("journal: record %d has %d bytes, %d are the most", r.N, len(payload), maxRecordBytes)
+		return nil, nil, fmt.Errorf("journal: record %d has %d bytes, %d are the most", r.Revision, len(payload), maxRecordBytes)
 	}
-	k = recordKey(r.N)
+	k = recordKey(r.Revision)
 	s := checksum(k, payload)
 	return k, append(s[:], payload...), nil
 }
@@ -268,7 +268,7 @@
 
 // Trim replaces all records up to and including the base's number with the base, atomically.
 func (j *Journal) Trim(base datastore.Record) error {
-	return j.writeRecord(base, func(b *pebble.Batch) error { return b.DeleteRange(recordKey(0), recordKey(base.N), nil) })
+	return j.writeRecord(base, func(b *pebble.Batch) error { return b.DeleteRange(recordKey(0), recordKey(base.Revision), nil) })
 }
 
 // writeRecord writes a record in one batch with the operations that prepare adds first, if it is not nil.
@@ -283,7 +283,7 @@
 	defer func() {
 		if err != nil {
 			if !errors.Is(err, ErrBroken) {
-				err = fmt.Errorf("%w: record %d: %w", ErrBroken, r.N, err)
+				err = fmt.Errorf("%w: record %d: %w", ErrBroken, r.Revision, err)
 			}
 			j.broken = err
 		}
@@ -304,7 +304,7 @@
 	if r.Kind == datastore.KindBase {
 		return nil // a base replaces older records; the last record is still the same
 	}
-	return j.writeLast(r.N)
+	return j.writeLast(r.Revision)
 }
 
 // Close closes the journal. It leaves the database of a broken journal open, as the library would wait for writes that
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -22,7 +22,7 @@
 	require.NoError(t, err)
 	require.Empty(t, kept)
 	for i := range n {
-		r := datastore.Record{N: i + 1, Kind: datastore.KindCommit, User: "op", At: time.Unix(int64(i), 0).UTC(), Comment: "x"}
+		r := datastore.Record{Revision: i + 1, Kind: datastore.KindCommit, User: "op", At: time.Unix(int64(i), 0).UTC(), Comment: "x"}
 		require.NoError(t, j.Append(r))
 		records = append(records, r)
 	}
@@ -97,7 +97,7 @@
 		with  func([]byte) []byte
 	}{{"record 2 is damaged: its checksum", 2, func(b []byte) []byte { b[len(b)-3]++; return b }},
 		{"record 0000000000000002 is damaged", 2, func([]byte) []byte { return []byte("short") }},
-		{"record 3 is damaged", 3, func([]byte) []byte { _, v, _ := encode(datastore.Record{N: 1}); return v }}} {
+		{"record 3 is damaged", 3, func([]byte) []byte { _, v, _ := encode(datastore.Record{Revision: 1}); return v }}} {
 		clone := vfs.NewMem()
 		_, err := vfs.Clone(disk, clone, "j", "j")
 		require.NoError(t, err)
@@ -120,13 +120,13 @@
 	records := fillJournal(t, disk, 9)
 	j, _, err := Open(disk, "j", discardLog)
 	require.NoError(t, err)
-	base := datastore.Record{N: 5, Kind: datastore.KindBase, At: time.Unix(0, 0).UTC()}
+	base := datastore.Record{Revision: 5, Kind: datastore.KindBase, At: time.Unix(0, 0).UTC()}
 	require.NoError(t, j.Trim(base))
-	require.ErrorContains(t, j.Append(datastore.Record{N: 10, Comment: strings.Repeat("x", maxRecordBytes)}), "are the most")
-	require.NoError(t, j.Append(datastore.Record{N: 10, Kind: datastore.KindConfirm, At: base.At}), "a record that is too large does not break the journal")
+	require.ErrorContains(t, j.Append(datastore.Record{Revision: 10, Comment: strings.Repeat("x", maxRecordBytes)}), "are the most")
+	require.NoError(t, j.Append(datastore.Record{Revision: 10, Kind: datastore.KindConfirm, At: base.At}), "a record that is too large does not break the journal")
 	require.NoError(t, j.Close())
 	_, kept, err := Open(disk, "j", discardLog)
 	require.NoError(t, err)
 	require.Equal(t, append(append([]datastore.Record{base}, records[5:]...),
-		datastore.Record{N: 10, Kind: datastore.KindConfirm, At: base.At}), kept)
+		datastore.Record{Revision: 10, Kind: datastore.KindConfirm, At: base.At}), kept)
 }
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -62,9 +62,9 @@
 	l.watchers = append(l.watchers, f)
 }
 
-// To changes to a later state; states in between may be skipped. If next is not a later state, To returns an error and
-// changes nothing.
-func (l *Lifecycle) To(next State) error {
+// Advance changes to a later state; states in between may be skipped. If next is not a later state, Advance returns an
+// error and changes nothing.
+func (l *Lifecycle) Advance(next State) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if next <= l.state || next > Stopped {
--- a/internal/liveness/lease.go
+++ b/internal/liveness/lease.go
@@ -48,7 +48,7 @@
 
 // Reasons for abandoning calls.
 const (
-	ReasonSilent   Reason = "silent"   // the lease has expired
+	ReasonExpired  Reason = "silent"   // the lease has expired
 	ReasonRefused  Reason = "refused"  // nothing listens at the address
 	ReasonReplaced Reason = "replaced" // the process at the address does not have the calls
 )
@@ -72,20 +72,21 @@
 
 // Expiry lists the calls of one process that are abandoned.
 type Expiry struct {
-	Calls  []string
-	Reason Reason
-	Silent time.Duration // time since the last sign of life of their process
+	Calls           []string
+	Reason          Reason
+	UnresponsiveFor time.Duration // time since the last sign of life of their process
 }
 
 // Decision is the set of actions that Tick requires of the caller.
 type Decision struct {
 	Expired []Expiry
-	// Check requests a new connection. It may replace one of Idle, which carry no calls, or with Prove one of Silent,
-	// which carry calls of the unresponsive process: if the core closes its side too, it is the process that has them.
-	Check  bool
-	Prove  bool
-	Idle   []ConnectionID // oldest first
-	Silent []ConnectionID
+	// Check requests a new connection. It may replace one of Idle, which carry no calls, or with ReplaceCarrying one of
+	// Carrying, which carry calls of the unresponsive process: if the core closes its side too, it is the process that
+	// has them.
+	Check           bool
+	ReplaceCarrying bool
+	Idle            []ConnectionID // oldest first
+	Carrying        []ConnectionID
 }
 
 // call is an answered call that has not ended.
@@ -169,8 +170,8 @@
 	}
 }
 
-// Heard records a complete message from the core. Messages of connections that have ended are ignored.
-func (l *Lease) Heard(id ConnectionID, now time.Duration, m Message) {
+// MessageReceived records a complete message from the core. Messages of connections that have ended are ignored.
+func (l *Lease) MessageReceived(id ConnectionID, now time.Duration, m Message) {
 	c := l.connections[id]
 	if c == nil {
 		return
@@ -276,8 +277,8 @@
 	l.pending[id] = pendingSetUp{connectionID: connectionID, width: max(1, width)}
 }
 
-// SetUpOver records that a set-up is no longer pending.
-func (l *Lease) SetUpOver(id string) { delete(l.pending, id) }
+// SetUpEnded records that a set-up is no longer pending.
+func (l *Lease) SetUpEnded(id string) { delete(l.pending, id) }
 
 // laterWidth returns the maximum number of circuits taken by calls and set-ups on processes that follow p. Set-ups on
 // connections of p or of earlier processes did not reach them.
@@ -357,8 +358,8 @@
 	}
 }
 
-// Stands records that a call of the given width, in circuits, was answered on a connection.
-func (l *Lease) Stands(id string, width float64, connectionID ConnectionID, now time.Duration) {
+// CallAnswered records that a call of the given width, in circuits, was answered on a connection.
+func (l *Lease) CallAnswered(id string, width float64, connectionID ConnectionID, now time.Duration) {
 	var p *process
 	switch c := l.connections[connectionID]; {
 	case c != nil:
@@ -372,15 +373,15 @@
 	p.calls[id] = call{connectionID: connectionID, width: max(1, width), answeredAt: now}
 }
 
-// Over records the end of a call.
-func (l *Lease) Over(id string) {
+// CallEnded records the end of a call.
+func (l *Lease) CallEnded(id string) {
 	for _, p := range l.processes {
 		delete(p.calls, id)
 	}
 }
 
-// OverBefore drops the calls answered before a time, because the core's process has restarted since.
-func (l *Lease) OverBefore(at time.Duration) {
+// DropCallsBefore drops the calls answered before a time, because the core's process has restarted since.
+func (l *Lease) DropCallsBefore(at time.Duration) {
 	for _, p := range l.processes {
 		for id, k := range p.calls {
 			if k.answeredAt < at {
@@ -452,7 +453,7 @@
 	case p.lacksCalls(now):
 		return ReasonReplaced
 	case now-p.lastAliveAt >= LeaseDuration:
-		return ReasonSilent
+		return ReasonExpired
 	}
 	return ""
 }
@@ -466,7 +467,7 @@
 
 // expire removes the calls of a process and returns them as an Expiry.
 func (p *process) expire(reason Reason, now time.Duration) Expiry {
-	e := Expiry{Reason: reason, Silent: now - p.lastAliveAt}
+	e := Expiry{Reason: reason, UnresponsiveFor: now - p.lastAliveAt}
 	for id := range p.calls {
 		e.Calls = append(e.Calls, id)
 	}
@@ -516,13 +517,13 @@
 		case !carrying[id]:
 			d.Idle = append(d.Idle, id)
 		case c.process == p:
-			d.Silent = append(d.Silent, id)
+			d.Carrying = append(d.Carrying, id)
 		}
 	}
 	slices.Sort(d.Idle)
-	slices.Sort(d.Silent)
-	d.Prove = p != l.newest() && !l.statesReliable() && len(d.Silent) > 0
-	if p != l.newest() && !d.Prove && l.newestResponding(now) && !l.stateInconclusive(p) {
+	slices.Sort(d.Carrying)
+	d.ReplaceCarrying = p != l.newest() && !l.statesReliable() && len(d.Carrying) > 0
+	if p != l.newest() && !d.ReplaceCarrying && l.newestResponding(now) && !l.stateInconclusive(p) {
 		return // the process at the address has sent a message, or still has time to
 	}
 	l.lastCheckAt = now
--- a/internal/liveness/lease_test.go
+++ b/internal/liveness/lease_test.go
@@ -40,8 +40,8 @@
 	}
 	c.used = 2
 	for i, id := range []ConnectionID{1, 2} {
-		c.lease.Heard(id, c.now, c.state())
-		c.lease.Stands(fmt.Sprint("call", i), 1, id, c.now)
+		c.lease.MessageReceived(id, c.now, c.state())
+		c.lease.CallAnswered(fmt.Sprint("call", i), 1, id, c.now)
 	}
 	c.advance(2 * time.Second)
 	require.Empty(t, c.expired)
@@ -60,7 +60,7 @@
 	c.lease.Connected(c.lastID, c.now)
 	c.open[c.lastID] = true
 	if c.statesOnConnect {
-		c.lease.Heard(c.lastID, c.now, c.state())
+		c.lease.MessageReceived(c.lastID, c.now, c.state())
 	}
 }
 
@@ -85,9 +85,9 @@
 func (c *core) replaceConnection(d Decision) {
 	previous := c.lastID
 	c.dial()
-	retire := append(d.Idle, d.Silent...)
-	if d.Prove {
-		retire = append(d.Silent, d.Idle...)
+	retire := append(d.Idle, d.Carrying...)
+	if d.ReplaceCarrying {
+		retire = append(d.Carrying, d.Idle...)
 	}
 	if c.lastID == previous || len(retire) == 0 {
 		return
@@ -127,8 +127,8 @@
 
 func TestNoChecksWithoutCalls(t *testing.T) {
 	c := newCore(t)
-	c.lease.Over("call0")
-	c.lease.Over("call1")
+	c.lease.CallEnded("call0")
+	c.lease.CallEnded("call1")
 	dials := c.dials
 	c.advance(time.Minute)
 	require.Equal(t, dials, c.dials)
@@ -138,7 +138,7 @@
 	c := newCore(t)
 	dials := c.dials
 	for range 100 {
-		c.lease.Heard(1, c.now, Message{})
+		c.lease.MessageReceived(1, c.now, Message{})
 		c.advance(900 * time.Millisecond)
 	}
 	require.Equal(t, dials, c.dials)
@@ -150,7 +150,7 @@
 	c.disappear()
 	vanished := c.now
 	c.advance(8 * time.Second)
-	require.Equal(t, map[string]Reason{"call0": ReasonSilent, "call1": ReasonSilent}, c.expired)
+	require.Equal(t, map[string]Reason{"call0": ReasonExpired, "call1": ReasonExpired}, c.expired)
 	require.LessOrEqual(t, c.expiredAt-vanished, LeaseDuration+tick)
 	require.GreaterOrEqual(t, c.expiredAt-vanished, LeaseDuration-CheckAfter-CheckInterval)
 }
@@ -159,7 +159,7 @@
 	c := newCore(t)
 	c.statesOnConnect, c.closesRetired = false, false // new connections open but bring no message
 	c.advance(8 * time.Second)
-	require.Equal(t, map[string]Reason{"call0": ReasonSilent, "call1": ReasonSilent}, c.expired)
+	require.Equal(t, map[string]Reason{"call0": ReasonExpired, "call1": ReasonExpired}, c.expired)
 	require.Less(t, c.dials, 25)
 }
 
@@ -182,7 +182,7 @@
 	c.advance(4 * time.Second)
 	c.acceptsDials, c.open, c.used = true, open, 1
 	c.advance(700 * time.Millisecond)
-	c.lease.Over("call0")
+	c.lease.CallEnded("call0")
 	c.advance(10 * time.Second)
 	require.Empty(t, c.expired)
 }
@@ -282,8 +282,8 @@
 	c.acceptsDials, c.used = true, 0
 	c.dial()
 	c.used = 1
-	c.lease.Stands("later", 1, c.lastID, c.now)
-	c.lease.Heard(c.lastID, c.now, c.state())
+	c.lease.CallAnswered("later", 1, c.lastID, c.now)
+	c.lease.MessageReceived(c.lastID, c.now, c.state())
 	c.advance(20 * time.Second)
 	require.Equal(t, map[string]Reason{"call0": ReasonReplaced, "call1": ReasonReplaced}, c.expired)
 }
@@ -296,7 +296,7 @@
 	c.advance(3 * time.Second)
 	c.acceptsDials, c.statesOnConnect = true, false
 	c.dial()
-	c.lease.Heard(c.lastID, c.now, Message{Call: "call0"})
+	c.lease.MessageReceived(c.lastID, c.now, Message{Call: "call0"})
 	require.Len(t, c.lease.processes, 1)
 	c.advance(time.Second)
 	require.Empty(t, c.expired)
@@ -312,7 +312,7 @@
 		c.lease.Connected(c.lastID, c.now)
 	}
 	for i := range ConnectionID(3) {
-		c.lease.Heard(c.lastID-i, c.now, c.state())
+		c.lease.MessageReceived(c.lastID-i, c.now, c.state())
 	}
 	c.advance(20 * time.Second)
 	require.Empty(t, c.expired)
@@ -330,10 +330,10 @@
 	}
 	c.dial()
 	for i := range 5 {
-		c.lease.SetUpOver(fmt.Sprint("set-up", i))
-		c.lease.Stands(fmt.Sprint("later", i), 1, c.lastID, c.now)
+		c.lease.SetUpEnded(fmt.Sprint("set-up", i))
+		c.lease.CallAnswered(fmt.Sprint("later", i), 1, c.lastID, c.now)
 	}
-	c.lease.Heard(c.lastID, c.now, c.state())
+	c.lease.MessageReceived(c.lastID, c.now, c.state())
 	c.advance(5 * time.Second)
 	require.Equal(t, map[string]Reason{"call0": ReasonReplaced, "call1": ReasonReplaced}, c.expired)
 }
@@ -343,10 +343,10 @@
 func TestReleaseLost(t *testing.T) {
 	c := newCore(t)
 	for i := range 6 {
-		c.lease.Stands(fmt.Sprint("more", i), 1, 1, c.now)
+		c.lease.CallAnswered(fmt.Sprint("more", i), 1, 1, c.now)
 	}
 	c.used = 8
-	c.lease.Heard(1, c.now, c.state())
+	c.lease.MessageReceived(1, c.now, c.state())
 	c.advance(2 * time.Second)
 	c.disconnectAll(EndReset)
 	c.used = 7
@@ -363,7 +363,7 @@
 	c.acceptsDials, c.used = true, 0
 	c.dial()
 	c.now += ReleaseGrace
-	c.lease.Heard(c.lastID, c.now, Message{})
+	c.lease.MessageReceived(c.lastID, c.now, Message{})
 	c.advance(tick)
 	require.Equal(t, map[string]Reason{"call0": ReasonReplaced, "call1": ReasonReplaced}, c.expired)
 }
@@ -376,9 +376,9 @@
 	c.lease.SetUpSent("lost", 1, 1)
 	c.dial()
 	c.advance(1500 * time.Millisecond)
-	c.lease.SetUpOver("lost")
+	c.lease.SetUpEnded("lost")
 	for range 10 {
-		c.lease.Heard(c.lastID, c.now, c.state())
+		c.lease.MessageReceived(c.lastID, c.now, c.state())
 		c.advance(time.Second)
 	}
 	require.Empty(t, c.expired)
--- a/internal/liveness/model_test.go
+++ b/internal/liveness/model_test.go
@@ -110,7 +110,7 @@
 		onConnect()
 		m.sendState(c)
 		for _, call := range m.queuedReleases {
-			m.send(c, Message{Call: call}, func() { m.lease.Over(call) })
+			m.send(c, Message{Call: call}, func() { m.lease.CallEnded(call) })
 		}
 		m.queuedReleases = nil
 	})
@@ -127,7 +127,7 @@
 			return
 		}
 		c.lastMessage, c.unansweredSince = m.now, 0
-		m.lease.Heard(c.id, m.now, message)
+		m.lease.MessageReceived(c.id, m.now, message)
 		onDelivery()
 	})
 }
@@ -172,7 +172,7 @@
 func (m *model) endSetUp(c *modelConnection, id string) {
 	if c.pending[id] {
 		delete(c.pending, id)
-		m.lease.SetUpOver(id)
+		m.lease.SetUpEnded(id)
 	}
 }
 
@@ -190,7 +190,7 @@
 	m.send(c, Message{Call: id}, func() {
 		if c.pending[id] {
 			m.endSetUp(c, id)
-			m.lease.Stands(id, 1, c.id, m.now)
+			m.lease.CallAnswered(id, 1, c.id, m.now)
 		}
 	})
 	m.schedule(m.randomDuration(m.meanHold/5, 2*m.meanHold), func() { m.endCall(c, id) })
@@ -209,7 +209,7 @@
 	if slices.Contains(open, c) {
 		on = c
 	}
-	m.send(on, Message{Call: id}, func() { m.lease.Over(id) })
+	m.send(on, Message{Call: id}, func() { m.lease.CallEnded(id) })
 }
 
 // closeUnresponsive closes a connection that has not responded within modelResponseTimeout, unless another connection
--- a/internal/m3ua/client.go
+++ b/internal/m3ua/client.go
@@ -92,7 +92,7 @@
 }
 
 // lostOutcome is the outcome of attempts and calls that are lost with their association.
-var lostOutcome = core.Outcome{Result: brookmux.ResultReset, Report: settings.NoReport(), Cause: core.TemporaryFailure}
+var lostOutcome = core.Outcome{Result: brookmux.ResultReset, Report: settings.EmptyReport(), Cause: core.TemporaryFailure}
 
 // stateChanged applies a new state of the association. While the association is not active, the exchange is reported as
 // not reachable, so that no new attempt is sent to it. Unanswered set-ups are then lost; standing calls are kept for
@@ -160,7 +160,7 @@
 
 // currentReport returns the number of circuits of the link and how many of them are free.
 func (l *link) currentReport() brookmux.Report {
-	r := settings.NoReport()
+	r := settings.EmptyReport()
 	r.Size = float64(l.Circuits)
 	r.Free = max(0, r.Size-float64(l.group.numUsed()))
 	return r
@@ -187,7 +187,7 @@
 		o = core.Outcome{Result: brookmux.ResultConnectFailed}
 	} else if circ := l.group.seizeAny(l.Circuits, attempt.Key); circ != nil {
 		l.group.sendMessage(isupMessage{cic: circ.cic, kind: kindIAM, category: category, number: attempt.Number,
-			timeout: attempt.Left, description: attempt.Description})
+			timeout: attempt.Timeout, description: attempt.Description})
 		return
 	}
 	// The controller has already counted the attempt's circuits as in use; the report corrects that.
--- a/internal/m3ua/network.go
+++ b/internal/m3ua/network.go
@@ -68,7 +68,7 @@
 		{classSSNM, typeSCON, []Param{params[0], params[1], uint32Param(paramCongestion, uint32(c.Level))}}}
 }
 
-// SetCondition stores the condition of an exchange and, if TellNetwork is set, notifies the active peers of what has
+// SetCondition stores the condition of an exchange and, if SendConditions is set, notifies the active peers of what has
 // changed. It does not block.
 func (s *Server) SetCondition(exchange int, c core.Condition) {
 	s.mu.Lock()
@@ -80,7 +80,7 @@
 		}
 		s.conditions[pc] = c
 		for _, m := range conditionMessages(s.RoutingContext, pc, c) {
-			if !s.TellNetwork || m.Type == typeDAVA && old.Available || m.Type == typeSCON && old.Level == c.Level {
+			if !s.SendConditions || m.Type == typeDAVA && old.Available || m.Type == typeSCON && old.Level == c.Level {
 				continue
 			}
 			for _, p := range s.peers {
@@ -105,7 +105,7 @@
 	s := p.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.TellNetwork {
+	if !s.SendConditions {
 		return
 	}
 	for pc := range s.exchanges {
--- a/internal/m3ua/server.go
+++ b/internal/m3ua/server.go
@@ -16,7 +16,7 @@
 
 // Engine receives the requests of the server's peers. *core.Engine implements it.
 type Engine interface {
-	Linked(group string)
+	CallerConnected(group string)
 	Offer(r core.Request)
 	CallerLost(who core.Caller, keys []string)
 	Hangup(who core.Caller, key string, cause core.Cause, then func(known bool))
@@ -41,8 +41,8 @@
 	exchanges       map[uint32]int // numbers by point code
 	maxAssociations int
 
-	TellLevel   bool // the REL of a rejected call holds the automatic congestion level
-	TellNetwork bool // peers are notified of exchanges that are congested or unreachable
+	SendLevel      bool // the REL of a rejected call holds the automatic congestion level
+	SendConditions bool // peers are notified of exchanges that are congested or unreachable
 
 	associations sync.WaitGroup
 	mu           sync.Mutex
@@ -60,8 +60,8 @@
 	association *association // the active association, nil if there is none
 }
 
-// NewServer returns a Server that keeps at most maxAssociations associations at a time, and at least one. Set TellLevel
-// and TellNetwork before Serve.
+// NewServer returns a Server that keeps at most maxAssociations associations at a time, and at least one. Set SendLevel
+// and SendConditions before Serve.
 func NewServer(c Config, engine Engine, maxAssociations int, log *slog.Logger) *Server {
 	s := &Server{Config: c, engine: engine, log: log, maxAssociations: max(1, maxAssociations),
 		classes: map[uint8]string{}, exchanges: map[uint32]int{}, peers: map[uint32]*peer{},
@@ -129,7 +129,7 @@
 	}
 	a.onState = func(to State) {
 		if p.associationChanged(a, to == Active); to == Active {
-			s.engine.Linked(p.callerGroup())
+			s.engine.CallerConnected(p.callerGroup())
 			p.sendConditions(a)
 		}
 		s.log.Info("m3ua association", "asp", p.ASP, "state", to.String())
@@ -257,7 +257,7 @@
 func (p *peer) offer(g *circuitGroup, dpc uint32, m isupMessage) {
 	s := p.server
 	key := newKey()
-	call := &caller{engine: s.engine, group: g, sendLevel: s.TellLevel}
+	call := &caller{engine: s.engine, group: g, sendLevel: s.SendLevel}
 	call.circuit = g.seize(m.cic, key, call)
 	if call.circuit == nil {
 		s.log.Debug("m3ua: IAM for a circuit in use", "asp", p.ASP, "cic", m.cic)
@@ -273,7 +273,7 @@
 		call.Refuse(key, core.Verdict{Cause: causeInvalidNumber})
 		return
 	}
-	r := core.Request{Group: p.callerGroup(), Key: key, Class: class, Number: m.number, Left: m.timeout,
+	r := core.Request{Group: p.callerGroup(), Key: key, Class: class, Number: m.number, Remaining: m.timeout,
 		Destination: destination, Width: 1, Via: -1, Description: m.description, Caller: call}
 	if from, ok := s.exchanges[p.PointCode]; ok {
 		r.Transit, r.Via = true, from
@@ -297,9 +297,9 @@
 	sendLevel bool // the REL of a rejected call holds the congestion level
 }
 
-// Stands implements core.Caller. If the description does not fit in a message, the call fails: the circuit is released
-// and the core is notified, from another goroutine since Stands is called on the core's goroutine.
-func (c *caller) Stands(key string, description []byte) {
+// Answered implements core.Caller. If the description does not fit in a message, the call fails: the circuit is
+// released and the core is notified, from another goroutine since Answered is called on the core's goroutine.
+func (c *caller) Answered(key string, description []byte) {
 	if !descriptionFits(description) {
 		c.group.release(c.circuit, core.TemporaryFailure, 0)
 		go c.engine.Hangup(c, key, core.TemporaryFailure, func(bool) {})
--- a/internal/mgmt/owned.go
+++ b/internal/mgmt/owned.go
@@ -24,9 +24,10 @@
 
 const watchQueueSize = 64 // changes that a watcher may lag behind before its channel is closed
 
-// Owned serves the transactional configuration of a transact.Owner as a Source, together with state. A Set is one
-// transaction. Changes made over NETCONF appear too, as both interfaces share the owner. The user of Owned calls Poll.
-type Owned struct {
+// Transactional serves the transactional configuration of a transact.Owner as a Source, together with state. A Set is
+// one transaction. Changes made over NETCONF appear too, as both interfaces share the owner. The user of Transactional
+// calls PublishChanges.
+type Transactional struct {
 	owner      *transact.Owner
 	addState   func(tree *schema.Node)  // adds state to the configuration tree
 	extraState func() map[string]string // state from outside the tree, by path
@@ -35,16 +36,16 @@
 
 	mu         sync.Mutex
 	watchers   map[chan []store.Op]struct{}
-	lastValues map[string]string // values at the last Poll; nil without watchers
+	lastValues map[string]string // values at the last PublishChanges; nil without watchers
 }
 
-// NewOwned returns a Source on the transactional configuration of o. addState adds state to the configuration tree, and
-// extraState returns more state by path. rulesFor returns the access rules that currently apply to a user, or nil if
-// the user may read everything.
-func NewOwned(o *transact.Owner, addState func(*schema.Node), extraState func() map[string]string, rulesFor func(string) *nacm.Rules) *Owned {
+// NewTransactional returns a Source on the transactional configuration of o. addState adds state to the configuration
+// tree, and extraState returns more state by path. rulesFor returns the access rules that currently apply to a user, or
+// nil if the user may read everything.
+func NewTransactional(o *transact.Owner, addState func(*schema.Node), extraState func() map[string]string, rulesFor func(string) *nacm.Rules) *Transactional {
 	var rootDef *schema.Def
-	o.Look(func(s *datastore.Store) { rootDef = s.Model.Root })
-	return &Owned{owner: o, rootDef: rootDef, addState: addState, extraState: extraState, rulesFor: rulesFor, watchers: map[chan []store.Op]struct{}{}}
+	o.View(func(s *datastore.Store) { rootDef = s.Model.Root })
+	return &Transactional{owner: o, rootDef: rootDef, addState: addState, extraState: extraState, rulesFor: rulesFor, watchers: map[chan []store.Op]struct{}{}}
 }
 
 // toStorePath converts the path of a schema.Item to the form of path.String. It reports false for elements of
@@ -77,13 +78,13 @@
 }
 
 // List implements Source. The values include defaults of nodes that are not set.
-func (o *Owned) List(prefix string) (map[string]string, uint64) {
+func (o *Transactional) List(prefix string) (map[string]string, uint64) {
 	var tree *schema.Node
 	var revision uint64
-	o.owner.Look(func(s *datastore.Store) {
+	o.owner.View(func(s *datastore.Store) {
 		tree, _ = s.Get(datastore.Running) // Running always exists
-		revision = s.Last()
-		s.Tell(tree)
+		revision = s.LastRevision()
+		s.AddHistory(tree)
 	})
 	o.addState(tree)
 	out := map[string]string{}
@@ -101,28 +102,28 @@
 }
 
 // Readable implements Source, by the access rules of the client's user.
-func (o *Owned) Readable(ctx context.Context) func(string) bool {
+func (o *Transactional) Readable(ctx context.Context) func(string) bool {
 	name := clientUser(ctx)
 	r := o.rulesFor(name)
 	if r == nil {
 		return func(string) bool { return true }
 	}
-	return func(text string) bool { return r.Path(name, o.rootDef, toItemPath(text)) }
+	return func(text string) bool { return r.MayRead(name, o.rootDef, toItemPath(text)) }
 }
 
-// Watch implements Source. Changes are sent by Poll.
-func (o *Owned) Watch() (<-chan []store.Op, func()) {
+// Watch implements Source. Changes are sent by PublishChanges.
+func (o *Transactional) Watch() (<-chan []store.Op, func()) {
 	c := make(chan []store.Op, watchQueueSize)
 	o.mu.Lock()
 	if o.watchers[c] = struct{}{}; o.lastValues == nil {
-		o.lastValues, _ = o.List("") // Poll reports changes from this state on
+		o.lastValues, _ = o.List("") // PublishChanges reports changes from this state on
 	}
 	o.mu.Unlock()
 	return c, func() { o.unwatch(c) }
 }
 
-// unwatch removes a watcher and closes its channel, unless Poll has closed it already.
-func (o *Owned) unwatch(c chan []store.Op) {
+// unwatch removes a watcher and closes its channel, unless PublishChanges has closed it already.
+func (o *Transactional) unwatch(c chan []store.Op) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if _, ok := o.watchers[c]; ok {
@@ -131,9 +132,9 @@
 	}
 }
 
-// Poll sends the watchers the changes of configuration and state since its last call. The user of Owned calls it after
-// each transaction and several times a second; Set calls it itself.
-func (o *Owned) Poll() {
+// PublishChanges sends the watchers the changes of configuration and state since its last call. The user of
+// Transactional calls it after each transaction and several times a second; Set calls it itself.
+func (o *Transactional) PublishChanges() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(o.watchers) == 0 {
@@ -178,29 +179,29 @@
 }
 
 // Set implements Source as one transaction. It supports the commit-confirmed extension.
-func (o *Owned) Set(ctx context.Context, ops []store.Op, commit *gnmi_ext.Commit) error {
+func (o *Transactional) Set(ctx context.Context, ops []store.Op, commit *gnmi_ext.Commit) error {
 	var session datastore.Session
 	err := o.owner.Do(func(s *datastore.Store) (err error) {
-		session, err = s.Open(clientUser(ctx), "gnmi")
+		session, err = s.OpenSession(clientUser(ctx), "gnmi")
 		return err
 	})
 	if err != nil {
 		return txnStatus(err)
 	}
-	defer o.owner.Close(session.ID)
-	_, err = o.owner.Make(func(s *datastore.Store, at time.Time) (*datastore.Txn, error) {
+	defer o.owner.CloseSession(session.ID)
+	_, err = o.owner.Execute(func(s *datastore.Store, at time.Time) (*datastore.Txn, error) {
 		return o.beginTxn(s, session.ID, ops, commit, at)
 	})
 	if err != nil {
 		return txnStatus(err)
 	}
-	o.Poll()
+	o.PublishChanges()
 	return nil
 }
 
 // beginTxn begins the transaction of a Set: a change with or without a confirmed commit, an extension of its time-out,
 // its confirmation or its cancellation. The last three can't be combined with operations.
-func (o *Owned) beginTxn(s *datastore.Store, id datastore.SessionID, ops []store.Op, ext *gnmi_ext.Commit, at time.Time) (*datastore.Txn, error) {
+func (o *Transactional) beginTxn(s *datastore.Store, id datastore.SessionID, ops []store.Op, ext *gnmi_ext.Commit, at time.Time) (*datastore.Txn, error) {
 	var commit datastore.Commit
 	switch a := ext.GetAction().(type) {
 	case *gnmi_ext.Commit_Commit:
@@ -223,7 +224,7 @@
 		for _, op := range ops {
 			var err error
 			if op.Delete {
-				err = tree.Take(toItemPath(op.Path))
+				err = tree.RemovePath(toItemPath(op.Path))
 			} else {
 				err = tree.Put(schema.Item{Path: toItemPath(op.Path), Value: op.Value})
 			}
@@ -247,7 +248,7 @@
 	}
 	code := codes.InvalidArgument
 	switch e.Faults[0].Tag {
-	case schema.InUse, schema.LockDenied, schema.ResourceDenied, schema.OperationUnknown:
+	case schema.InUse, schema.LockDenied, schema.ResourceDenied, schema.OperationNotSupported:
 		code = codes.FailedPrecondition
 	}
 	return status.Error(code, err.Error())
--- a/internal/mgmt/owned_test.go
+++ b/internal/mgmt/owned_test.go
@@ -27,7 +27,7 @@
 	*Server
 	t     *testing.T
 	owner *transact.Owner
-	owned *Owned
+	owned *Transactional
 	now   time.Time
 }
 
@@ -37,19 +37,19 @@
 	require.NoError(t, err)
 	b := &testServer{t: t, now: time.Unix(1_800_000_000, 0)}
 	drains := &datastore.Drains{}
-	drains.Told(map[string]string{"9": "draining"})
-	b.owner, err = transact.New(transact.Config{Store: datastore.Config{Model: m, Keep: 9, Sessions: 4, Guards: []datastore.Guard{drains.Guard}},
+	drains.SetStates(map[string]string{"9": "draining"})
+	b.owner, err = transact.New(transact.Config{Store: datastore.Config{Model: m, Keep: 9, MaxSessions: 4, Guards: []datastore.Guard{drains.Guard}},
 		Now: func() time.Time { return b.now }, Log: slog.New(slog.DiscardHandler)})
 	require.NoError(t, err)
-	b.owned = NewOwned(b.owner, func(tree *schema.Node) {
+	b.owned = NewTransactional(b.owner, func(tree *schema.Node) {
 		require.NoError(t, tree.Put(schema.Item{Path: "/exchanges/exchange[number='2']/state/origin", Value: "learned"}))
 	}, func() map[string]string {
 		return map[string]string{"/border-control/controllers/controller[name=n0]/phase": "serving"}
 	}, func(user string) (r *nacm.Rules) {
-		b.owner.Look(func(s *datastore.Store) {
+		b.owner.View(func(s *datastore.Store) {
 			tree, err := s.Get(datastore.Running)
 			require.NoError(t, err)
-			r = nacm.Of(tree)
+			r = nacm.NewRules(tree)
 		})
 		return r
 	})
@@ -161,14 +161,14 @@
 	b := newTestServer(t)
 	var session datastore.Session
 	require.NoError(t, b.owner.Do(func(s *datastore.Store) (err error) {
-		if session, err = s.Open("op", "netconf"); err == nil {
+		if session, err = s.OpenSession("op", "netconf"); err == nil {
 			err = s.Lock(session.ID, datastore.Running)
 		}
 		return err
 	}))
 	r := &gnmi.SetRequest{Update: []*gnmi.Update{jsonUpdate("/limits/max-wait", "1")}}
 	require.Equal(t, codes.FailedPrecondition, b.setCode(r))
-	b.owner.Close(session.ID)
+	b.owner.CloseSession(session.ID)
 	require.Equal(t, codes.OK, b.setCode(r))
 }
 
@@ -203,8 +203,8 @@
 		`{"rule":[{"name":"r","path":"/limits/max-wait","access-operations":"read","action":"deny"}]}`)}}))
 	require.Equal(t, "5", b.getJSON("/limits/max-wait"), "the rule list has no group yet")
 	require.Equal(t, "NotFound", b.getJSON("/nacm/rule-list[name=a]/name"))
-	_, err := b.owner.Make(func(s *datastore.Store, now time.Time) (*datastore.Txn, error) {
-		session, err := s.Open("op", "netconf")
+	_, err := b.owner.Execute(func(s *datastore.Store, now time.Time) (*datastore.Txn, error) {
+		session, err := s.OpenSession("op", "netconf")
 		require.NoError(t, err)
 		return s.Swap(session.ID, func(tree *schema.Node) error {
 			return tree.Put(schema.Item{Path: "/nacm/rule-list[name='a']/group[.='*']", Value: "*"})
@@ -256,14 +256,14 @@
 	go func() { ended <- b.Subscribe(s) }()
 	require.Equal(t, "1", string((<-s.responses).GetUpdate().Update[0].Val.GetJsonIetfVal()))
 	require.True(t, (<-s.responses).GetSyncResponse())
-	_, err := b.owner.Make(func(d *datastore.Store, now time.Time) (*datastore.Txn, error) {
-		session, err := d.Open("op", "netconf")
+	_, err := b.owner.Execute(func(d *datastore.Store, now time.Time) (*datastore.Txn, error) {
+		session, err := d.OpenSession("op", "netconf")
 		require.NoError(t, err)
 		return d.Swap(session.ID, func(tree *schema.Node) error { return tree.Put(schema.Item{Path: "/limits/max-wait", Value: "2"}) },
 			datastore.Commit{}, now)
 	})
 	require.NoError(t, err)
-	b.owned.Poll()
+	b.owned.PublishChanges()
 	require.Equal(t, "2", string((<-s.responses).GetUpdate().Update[0].Val.GetJsonIetfVal()))
 	require.Equal(t, codes.OK, b.setCode(&gnmi.SetRequest{Delete: []*gnmi.Path{gnmiPath("/limits/max-wait")}}))
 	require.Len(t, (<-s.responses).GetUpdate().Delete, 1)
--- a/internal/mgmt/server.go
+++ b/internal/mgmt/server.go
@@ -31,7 +31,7 @@
 	log    *slog.Logger
 }
 
-// Source provides the values that a Server serves, by path. It is implemented by Replicated and Owned.
+// Source provides the values that a Server serves, by path. It is implemented by Replicated and Transactional.
 type Source interface {
 	// List returns the paths that begin with prefix and their values, and a revision.
 	List(prefix string) (map[string]string, uint64)
--- a/internal/nacm/nacm.go
+++ b/internal/nacm/nacm.go
@@ -41,7 +41,7 @@
 	rules  []rule
 }
 
-// Rules are the access control rules of one configuration. They do not change after Of.
+// Rules are the access control rules of one configuration. They do not change after NewRules.
 type Rules struct {
 	enabled                                bool
 	readDefault, writeDefault, execDefault bool
@@ -60,9 +60,9 @@
 	return ""
 }
 
-// Of reads the rules from a configuration tree. Without a nacm container, or with enable-nacm false, all access is
-// permitted.
-func Of(tree *schema.Node) *Rules {
+// NewRules reads the rules from a configuration tree. Without a nacm container, or with enable-nacm false, all access
+// is permitted.
+func NewRules(tree *schema.Node) *Rules {
 	r := &Rules{groups: map[string][]string{}}
 	n := tree.Get("nacm")
 	if n == nil || leafValue(n, "enable-nacm") != "true" {
@@ -157,8 +157,8 @@
 	return x.operations == "*" || slices.Contains(strings.Fields(x.operations), string(op))
 }
 
-// Node reports whether a user may perform an access operation on a node (RFC 8341, 3.4.5).
-func (r *Rules) Node(user string, n *schema.Node, op Op) bool {
+// MayAccess reports whether a user may perform an access operation on a node (RFC 8341, 3.4.5).
+func (r *Rules) MayAccess(user string, n *schema.Node, op Op) bool {
 	if !r.enabled {
 		return true
 	}
@@ -204,8 +204,9 @@
 	return true
 }
 
-// Path reports whether a user may read the node at a path and all its ancestors. The node need not exist in any tree.
-func (r *Rules) Path(user string, root *schema.Def, path string) bool {
+// MayRead reports whether a user may read the node at a path and all its ancestors. The node need not exist in any
+// tree.
+func (r *Rules) MayRead(user string, root *schema.Def, path string) bool {
 	if !r.enabled {
 		return true
 	}
@@ -223,14 +224,14 @@
 		for _, k := range d.Keys {
 			keys = append(keys, s.Keys[k])
 		}
-		if d.Leafy() {
+		if d.HasValue() {
 			keys = []string{s.Keys["."]}
 		}
 		c, err := at.Add(d, keys...)
 		if err != nil && !errors.Is(err, schema.ErrExists) {
 			return false
 		}
-		if !(d.Leafy() && d.IsKey()) && !r.Node(user, c, Read) {
+		if !(d.HasValue() && d.IsKey()) && !r.MayAccess(user, c, Read) {
 			return false
 		}
 		at = c
@@ -241,8 +242,8 @@
 // deniedByDefault are the protocol operations that are denied unless a rule permits them (RFC 8341, 3.2.8).
 var deniedByDefault = []string{"kill-session", "delete-config"}
 
-// Call reports whether a user may call a protocol operation (RFC 8341, 3.4.4). close-session is always permitted.
-func (r *Rules) Call(user, module, name string) bool {
+// MayCall reports whether a user may call a protocol operation (RFC 8341, 3.4.4). close-session is always permitted.
+func (r *Rules) MayCall(user, module, name string) bool {
 	if !r.enabled || name == "close-session" {
 		return true
 	}
@@ -256,8 +257,8 @@
 	return r.execDefault && !slices.Contains(deniedByDefault, name)
 }
 
-// Hear reports whether a user may receive a notification (RFC 8341, 3.4.6).
-func (r *Rules) Hear(user, module, name string) bool {
+// MayReceive reports whether a user may receive a notification (RFC 8341, 3.4.6).
+func (r *Rules) MayReceive(user, module, name string) bool {
 	if !r.enabled {
 		return true
 	}
@@ -271,22 +272,22 @@
 	return r.readDefault
 }
 
-// Shown removes from a tree the nodes that a user may not read. Key leaves of readable entries stay.
-func (r *Rules) Shown(user string, tree *schema.Node) {
+// RemoveUnreadable removes from a tree the nodes that a user may not read. Key leaves of readable entries stay.
+func (r *Rules) RemoveUnreadable(user string, tree *schema.Node) {
 	if !r.enabled {
 		return
 	}
 	for _, c := range slices.Clone(tree.Children()) {
-		if !r.Node(user, c, Read) && !(c.Def.Leafy() && c.Def.IsKey()) {
+		if !r.MayAccess(user, c, Read) && !(c.Def.HasValue() && c.Def.IsKey()) {
 			tree.Remove(c)
 			continue
 		}
-		r.Shown(user, c)
+		r.RemoveUnreadable(user, c)
 	}
 }
 
-// Changes returns an access-denied fault for each change between two trees that a user may not make, at most 10.
-func (r *Rules) Changes(user string, old, next *schema.Node, changes []schema.Change) (faults []schema.Fault) {
+// DeniedChanges returns an access-denied fault for each change between two trees that a user may not make, at most 10.
+func (r *Rules) DeniedChanges(user string, old, next *schema.Node, changes []schema.Change) (faults []schema.Fault) {
 	if !r.enabled {
 		return nil
 	}
@@ -299,7 +300,7 @@
 			op, at = Delete, old
 		}
 		n, err := at.Find(c.Path)
-		if err != nil || !r.Node(user, n, op) {
+		if err != nil || !r.MayAccess(user, n, op) {
 			faults = append(faults, schema.Fault{Tag: schema.AccessDenied, Path: c.Path,
 				Message: fmt.Sprintf("%s may not %s it", user, op)})
 			if len(faults) >= 10 {
--- a/internal/nacm/nacm_test.go
+++ b/internal/nacm/nacm_test.go
@@ -53,7 +53,7 @@
 // denied by default.
 func TestNodes(t *testing.T) {
 	n := buildTree(t, rules)
-	r := Of(n)
+	r := NewRules(n)
 	for _, c := range []struct {
 		user, path string
 		op         Op
@@ -68,23 +68,23 @@
 	} {
 		x, err := n.Find(c.path)
 		require.NoError(t, err)
-		require.Equal(t, c.want, r.Node(c.user, x, c.op), c)
+		require.Equal(t, c.want, r.MayAccess(c.user, x, c.op), c)
 	}
-	require.True(t, r.Call("eve", "ietf-netconf", "commit"))
-	require.False(t, r.Call("ann", "ietf-netconf", "commit"))
-	require.True(t, r.Call("ann", "ietf-netconf", "close-session"))
-	require.True(t, r.Call("ann", "ietf-netconf", "kill-session"))
-	require.False(t, r.Call("eve", "ietf-netconf", "kill-session"))
-	require.False(t, r.Hear("eve", "ietf-netconf-notifications", "netconf-config-change"))
-	require.True(t, r.Hear("bob", "ietf-netconf-notifications", "netconf-config-change"))
+	require.True(t, r.MayCall("eve", "ietf-netconf", "commit"))
+	require.False(t, r.MayCall("ann", "ietf-netconf", "commit"))
+	require.True(t, r.MayCall("ann", "ietf-netconf", "close-session"))
+	require.True(t, r.MayCall("ann", "ietf-netconf", "kill-session"))
+	require.False(t, r.MayCall("eve", "ietf-netconf", "kill-session"))
+	require.False(t, r.MayReceive("eve", "ietf-netconf-notifications", "netconf-config-change"))
+	require.True(t, r.MayReceive("bob", "ietf-netconf-notifications", "netconf-config-change"))
 
 	next := n.Clone()
 	require.NoError(t, next.Put(schema.Item{Path: "/exchanges/exchange[number='1']/zone", Value: "c"}))
 	require.NoError(t, next.Put(schema.Item{Path: "/exchanges/exchange[number='2']/zone", Value: "c"}))
-	faults := r.Changes("ann", n, next, schema.Diff(n, next))
+	faults := r.DeniedChanges("ann", n, next, schema.Diff(n, next))
 	require.Len(t, faults, 1)
 	require.Equal(t, "/exchanges/exchange[number='2']/zone", faults[0].Path)
-	r.Shown("ann", next)
+	r.RemoveUnreadable("ann", next)
 	require.Nil(t, next.Get("limits"))
 	require.Nil(t, next.Get("nacm"))
 	require.Equal(t, []schema.Item{{Path: "/exchanges/exchange[number='1']/number", Value: "1"}, {Path: "/exchanges/exchange[number='1']/zone", Value: "c"},
@@ -97,7 +97,7 @@
 	for lines, want := range map[string]bool{"": true, "/nacm/enable-nacm = false": true, "/nacm/enable-nacm = true": false,
 		"/nacm/write-default = permit": true} {
 		n := buildTree(t, lines+"\n/limits/max-wait = 5")
-		require.Equal(t, want, Of(n).Node("eve", n.Get("limits"), Update), lines)
+		require.Equal(t, want, NewRules(n).MayAccess("eve", n.Get("limits"), Update), lines)
 	}
 }
 
--- a/internal/netconf/bench_test.go
+++ b/internal/netconf/bench_test.go
@@ -70,10 +70,10 @@
 	j, _, err := journal.Open(vfs.Default, b.TempDir(), discardLog)
 	require.NoError(b, err)
 	b.Cleanup(func() { require.NoError(b, j.Close()) })
-	ts.Owner, err = transact.New(transact.Config{Store: datastore.Config{Model: ts.Model, Keep: 50, Sessions: 4}, Journal: j, Now: time.Now, Log: discardLog})
+	ts.Owner, err = transact.New(transact.Config{Store: datastore.Config{Model: ts.Model, Keep: 50, MaxSessions: 4}, Journal: j, Now: time.Now, Log: discardLog})
 	require.NoError(b, err)
 	sess := &session{server: ts.Server, log: discardLog}
-	require.NoError(b, ts.Owner.Do(func(s *datastore.Store) (err error) { sess.dsSession, err = s.Open("op", "bench"); return err }))
+	require.NoError(b, ts.Owner.Do(func(s *datastore.Store) (err error) { sess.dsSession, err = s.OpenSession("op", "bench"); return err }))
 	return sess
 }
 
--- a/internal/netconf/client.go
+++ b/internal/netconf/client.go
@@ -132,8 +132,8 @@
 	return e, nil
 }
 
-// Config reads the configuration in a datastore. With withState it reads running and all state data instead.
-func (c *Client) Config(source datastore.Target, withState bool) (*schema.Node, error) {
+// GetConfig reads the configuration in a datastore. With withState it reads running and all state data instead.
+func (c *Client) GetConfig(source datastore.Target, withState bool) (*schema.Node, error) {
 	op := "<get-config><source><" + string(source) + "/></source></get-config>"
 	if withState {
 		op = "<get/>"
@@ -154,7 +154,7 @@
 			continue // from a module that this model does not have
 		}
 		var keys []string
-		if def.Leafy() {
+		if def.HasValue() {
 			v, err := def.Canonical(child.Text())
 			if err != nil {
 				return err
--- a/internal/netconf/message.go
+++ b/internal/netconf/message.go
@@ -214,8 +214,8 @@
 }
 
 // parseEdit reads a config element into the nodes of an edit. The root has the default operation op.
-func parseEdit(m *schema.Model, config *etree.Element, op datastore.Operation) (*datastore.Part, error) {
-	root := &datastore.Part{Def: m.Root, Op: op}
+func parseEdit(m *schema.Model, config *etree.Element, op datastore.Operation) (*datastore.EditNode, error) {
+	root := &datastore.EditNode{Def: m.Root, Op: op}
 	childOp := op
 	if op == datastore.Replace {
 		childOp = datastore.Merge // the root has replaced everything, so there is nothing left to replace below it
@@ -225,7 +225,7 @@
 
 // parseChildren reads the child elements of e and adds them to parent. op is the operation that they inherit, path the
 // path of e.
-func parseChildren(parent *datastore.Part, e *etree.Element, op datastore.Operation, path string) error {
+func parseChildren(parent *datastore.EditNode, e *etree.Element, op datastore.Operation, path string) error {
 	for _, child := range e.ChildElements() {
 		def := parent.Def.Child(child.Tag)
 		childPath := path + "/" + child.Tag
@@ -238,7 +238,7 @@
 			return &rpcError{errorType: "application", tag: "unknown-namespace", path: childPath, message: childPath + " is in the namespace " +
 				def.Namespace, info: [][2]string{{"bad-element", child.Tag}, {"bad-namespace", ns}}}
 		}
-		node := &datastore.Part{Def: def, Op: op, Path: childPath}
+		node := &datastore.EditNode{Def: def, Op: op, Path: childPath}
 		if err := parseOperation(node, child); err != nil {
 			return err
 		}
@@ -252,7 +252,7 @@
 		if err := parseNode(node, child, childPath); err != nil {
 			return err
 		}
-		parent.Parts = append(parent.Parts, node)
+		parent.Children = append(parent.Children, node)
 	}
 	return nil
 }
@@ -262,7 +262,7 @@
 	"create": datastore.Create, "delete": datastore.Delete, "remove": datastore.Remove}
 
 // parseOperation sets the operation of a node from the attributes of its element. Other attributes are errors.
-func parseOperation(node *datastore.Part, e *etree.Element) error {
+func parseOperation(node *datastore.EditNode, e *etree.Element) error {
 	for _, a := range e.Attr {
 		if a.Space == "xmlns" || a.Space == "" && a.Key == "xmlns" {
 			continue
@@ -283,10 +283,10 @@
 
 // parseNode reads the keys, the value and the children of a node from its element, and completes its path with the keys.
 // The value of a leaf and the children of a node are not needed to delete or remove it.
-func parseNode(node *datastore.Part, e *etree.Element, path string) error {
+func parseNode(node *datastore.EditNode, e *etree.Element, path string) error {
 	d := node.Def
 	deleting := node.Op == datastore.Delete || node.Op == datastore.Remove
-	if d.Leafy() {
+	if d.HasValue() {
 		if elems := e.ChildElements(); len(elems) > 0 {
 			return &rpcError{errorType: "application", tag: "unknown-element", path: path, message: d.Name + " has a value, not children",
 				info: [][2]string{{"bad-element", elems[0].Tag}}}
--- a/internal/netconf/netconf_test.go
+++ b/internal/netconf/netconf_test.go
@@ -47,20 +47,20 @@
 	require.NoError(t, err)
 	ts := &testServer{t: t, now: time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)}
 	clock := func() time.Time { ts.mu.Lock(); defer ts.mu.Unlock(); return ts.now }
-	owner, err := transact.New(transact.Config{Store: datastore.Config{Model: model, Keep: 20, Sessions: 20, Guards: []datastore.Guard{ts.drains.Guard, nacm.Check},
+	owner, err := transact.New(transact.Config{Store: datastore.Config{Model: model, Keep: 20, MaxSessions: 20, Guards: []datastore.Guard{ts.drains.Guard, nacm.Check},
 		Access: func(sess datastore.Session, running, old, next *schema.Node, changes []schema.Change) []schema.Fault {
 			if sess.User == "root" {
 				return nil
 			}
-			return nacm.Of(running).Changes(sess.User, old, next, changes)
+			return nacm.NewRules(running).DeniedChanges(sess.User, old, next, changes)
 		}},
-		Now: clock, Log: discardLog, Told: func(e transact.Event) { ts.Told(e) }})
+		Now: clock, Log: discardLog, OnTransaction: func(e transact.Event) { ts.PublishTransaction(e) }})
 	require.NoError(t, err)
 	ts.Server = NewServer(Config{Owner: owner, Model: model, Now: clock, Log: discardLog, Rules: func(user string) (rules *nacm.Rules) {
-		owner.Look(func(s *datastore.Store) {
+		owner.View(func(s *datastore.Store) {
 			tree, err := s.Get(datastore.Running)
 			require.NoError(t, err)
-			rules = nacm.Of(tree)
+			rules = nacm.NewRules(tree)
 		})
 		if user == "root" {
 			return nil
@@ -227,7 +227,7 @@
 	require.Equal(t, `<data><exchanges xmlns="urn:brookmux:exchanges">`+exchange(3)+"</exchanges></data>", got)
 	got = other.rpc(`<get><filter type="xpath" xmlns:c="urn:brookmux:circuits" select="/c:circuit-groups/c:group[c:size &gt; 20]/c:size"/><with-defaults>report-all-tagged</with-defaults></get>`)
 	require.Equal(t, `<data><circuit-groups xmlns="urn:brookmux:circuits"><group><a>1</a><b>2</b><size>40</size></group></circuit-groups></data>`, got)
-	ts.drains.Told(map[string]string{"2": "draining"})
+	ts.drains.SetStates(map[string]string{"2": "draining"})
 	reply := c.rpc(editConfigXML("running", "", group(1, 2, 50)))
 	require.Contains(t, reply, "<error-tag>resource-denied</error-tag>")
 	require.Contains(t, reply, "exchange 2 has been told draining")
@@ -324,7 +324,7 @@
 	require.Contains(t, all, "<username>op</username><session-id>"+c.id+"<")
 	require.Contains(t, all, "/bmx-li:limits/bmx-li:max-wait</target><operation>create<")
 	require.Contains(t, all, "<replayComplete")
-	ts.Event("exchange-state-change", [2]string{"number", "4"}, [2]string{"told", "<gone>"}, [2]string{"origin", ""})
+	ts.PublishEvent("exchange-state-change", [2]string{"number", "4"}, [2]string{"told", "<gone>"}, [2]string{"origin", ""})
 	require.Contains(t, listener.receive(), `<exchange-state-change xmlns="urn:brookmux:events"><number>4</number><told>&lt;gone&gt;</told></exchange-state-change>`)
 	for i := range maxQueuedEvents + 2 {
 		require.Equal(t, "<ok/>", c.rpc(editConfigXML("running", "", maxWaitXML(fmt.Sprint(i+2)))))
@@ -389,8 +389,8 @@
 	ts := newTestServer(&testing.T{})
 	f.Fuzz(func(t *testing.T, in string) {
 		sess := &session{server: ts.Server, log: discardLog}
-		_ = ts.Owner.Do(func(s *datastore.Store) (err error) { sess.dsSession, err = s.Open("op", "fuzz"); return err })
-		defer ts.Owner.Close(sess.dsSession.ID)
+		_ = ts.Owner.Do(func(s *datastore.Store) (err error) { sess.dsSession, err = s.OpenSession("op", "fuzz"); return err })
+		defer ts.Owner.CloseSession(sess.dsSession.ID)
 		_, err := parseXML(sess.handleMessage([]byte(in)))
 		require.NoError(t, err)
 	})
@@ -409,7 +409,7 @@
 	return k.hostKeys
 }
 
-func (k *testAccess) Keys(user string) []ssh.PublicKey {
+func (k *testAccess) AuthorizedKeys(user string) []ssh.PublicKey {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.userKeys[user]
--- a/internal/netconf/notify.go
+++ b/internal/netconf/notify.go
@@ -138,7 +138,7 @@
 		if !stop.IsZero() && e.eventTime.After(stop) {
 			return false
 		}
-		if rules := sess.nacmRules(); rules != nil && e.name != "" && !rules.Hear(sess.dsSession.User, e.module, e.name) {
+		if rules := sess.nacmRules(); rules != nil && e.name != "" && !rules.MayReceive(sess.dsSession.User, e.module, e.name) {
 			return true
 		}
 		if err := sess.send(notificationXML(e)); err != nil {
--- a/internal/netconf/ops.go
+++ b/internal/netconf/ops.go
@@ -96,7 +96,7 @@
 	}
 	tree = mode.apply(tree)
 	if rules := sess.nacmRules(); rules != nil {
-		rules.Shown(sess.dsSession.User, tree)
+		rules.RemoveUnreadable(sess.dsSession.User, tree)
 	}
 	tree, err = applyFilter(tree, onlyChild(op, "filter"))
 	if err != nil {
@@ -128,9 +128,9 @@
 		return nil, err
 	}
 	addYANGLibrary(tree, sess.server.Model)
-	sess.server.Owner.Look(func(s *datastore.Store) { s.Tell(tree) })
-	if sess.server.State != nil {
-		sess.server.State(tree)
+	sess.server.Owner.View(func(s *datastore.Store) { s.AddHistory(tree) })
+	if sess.server.AddState != nil {
+		sess.server.AddState(tree)
 	}
 	return sess.dataReply(op, tree)
 }
@@ -188,7 +188,7 @@
 	case t == datastore.Startup:
 		return nil, protocolError("operation-not-supported", "startup is changed by copy-config and delete-config")
 	case edit.Test == datastore.TestOnly:
-		return nil, sess.server.Owner.Do(func(s *datastore.Store) error { return s.Try(sess.dsSession.ID, edit) })
+		return nil, sess.server.Owner.Do(func(s *datastore.Store) error { return s.TestEdit(sess.dsSession.ID, edit) })
 	}
 	return nil, sess.execute(func(s *datastore.Store, at time.Time) (*datastore.Txn, error) {
 		return s.Change(sess.dsSession.ID, edit, datastore.Commit{}, at)
@@ -197,7 +197,7 @@
 
 // execute runs the transaction that begin returns. When it returns nil, the transaction is durable and in force.
 func (sess *session) execute(begin func(*datastore.Store, time.Time) (*datastore.Txn, error)) error {
-	_, err := sess.server.Owner.Make(begin)
+	_, err := sess.server.Owner.Execute(begin)
 	return err
 }
 
@@ -217,7 +217,7 @@
 	}
 	tree, err := sess.readDatastore(t)
 	if rules := sess.nacmRules(); rules != nil && err == nil {
-		rules.Shown(sess.dsSession.User, tree) // copy-config omits nodes that the user may not read (RFC 8341, 3.2.4)
+		rules.RemoveUnreadable(sess.dsSession.User, tree) // copy-config omits nodes that the user may not read (RFC 8341, 3.2.4)
 	}
 	return tree, err
 }
@@ -368,7 +368,7 @@
 		return nil, invalidValue("session-id", fmt.Sprintf("no session %d is open", n))
 	}
 	other.conn.Close()
-	sess.server.Owner.Close(id) // releases its locks before the reply is sent
+	sess.server.Owner.CloseSession(id) // releases its locks before the reply is sent
 	return nil, nil
 }
 
--- a/internal/netconf/output.go
+++ b/internal/netconf/output.go
@@ -35,7 +35,7 @@
 			return true
 		})
 		for _, n := range atDefault {
-			n.Drop()
+			n.RemoveSelf()
 		}
 	}
 	return tree
@@ -131,11 +131,11 @@
 
 // selectSubtree adds to dst what a filter element selects of node n, and reports whether it selects anything.
 func selectSubtree(dst *schema.Node, n *schema.Node, filter *etree.Element) bool {
-	if n.Def.Leafy() {
+	if n.Def.HasValue() {
 		if text := strings.TrimSpace(filter.Text()); text != "" && text != n.Value {
 			return false
 		}
-		dst.Adopt(n)
+		dst.AddCopy(n)
 		return true
 	}
 	var content, selections []*etree.Element
@@ -149,7 +149,7 @@
 	for _, c := range content { // all content match nodes have to match (6.2.5)
 		found := false
 		for _, child := range n.Children() {
-			found = found || matchesElement(child, c) && child.Def.Leafy() && child.Value == strings.TrimSpace(c.Text())
+			found = found || matchesElement(child, c) && child.Def.HasValue() && child.Value == strings.TrimSpace(c.Text())
 		}
 		if !found {
 			return false
@@ -164,7 +164,7 @@
 	for _, c := range content {
 		for _, child := range n.Children() {
 			if matchesElement(child, c) && child.Value == strings.TrimSpace(c.Text()) {
-				dstNode.Adopt(child)
+				dstNode.AddCopy(child)
 				selected = true
 			}
 		}
@@ -186,15 +186,15 @@
 func addCopyWithKeys(dst, n *schema.Node) *schema.Node {
 	c, err := dst.Add(n.Def, n.Keys()...)
 	if err != nil && !errors.Is(err, schema.ErrExists) {
-		return dst.Adopt(n) // unreachable: n was in a tree, so its keys are valid
+		return dst.AddCopy(n) // unreachable: n was in a tree, so its keys are valid
 	}
 	return c
 }
 
 // mergeNode adds a node and everything below it to dst, into the copy of it that dst may already have.
 func mergeNode(dst, n *schema.Node) {
-	if n.Def.Leafy() {
-		dst.Adopt(n)
+	if n.Def.HasValue() {
+		dst.AddCopy(n)
 		return
 	}
 	c := addCopyWithKeys(dst, n)
--- a/internal/netconf/session.go
+++ b/internal/netconf/session.go
@@ -42,9 +42,9 @@
 
 // Config configures a Server. Owner, Model, Now and Log are required.
 type Config struct {
-	Owner *transact.Owner
-	Model *schema.Model
-	State func(tree *schema.Node) // adds state data to a copy of running, may be nil
+	Owner    *transact.Owner
+	Model    *schema.Model
+	AddState func(tree *schema.Node) // adds state data to a copy of running, may be nil
 	// Rules returns the access control rules that now apply to a user (RFC 8341), or nil for unrestricted access. If Rules
 	// is nil, access is unrestricted. The Owner's store checks write access to the configuration.
 	Rules func(user string) *nacm.Rules
@@ -85,7 +85,7 @@
 	defer conn.Close()
 	var dsSession datastore.Session
 	err := s.Owner.Do(func(d *datastore.Store) (err error) {
-		dsSession, err = d.Open(user, "netconf")
+		dsSession, err = d.OpenSession(user, "netconf")
 		return err
 	})
 	if err != nil {
@@ -102,7 +102,7 @@
 	delete(s.sessions, dsSession.ID)
 	s.mu.Unlock()
 	s.stream.unsubscribe(sess)
-	s.Owner.Close(dsSession.ID) // releases its locks and reverts its unconfirmed commit, unless that persists
+	s.Owner.CloseSession(dsSession.ID) // releases its locks and reverts its unconfirmed commit, unless that persists
 	sess.log.Info("netconf session", "state", "closed", "error", err)
 	if errors.Is(err, io.EOF) {
 		return nil
@@ -119,17 +119,17 @@
 	}
 }
 
-// Told publishes a transaction to the subscribers, as a netconf-config-change (RFC 6470). A confirmation changes nothing
-// and is not published.
-func (s *Server) Told(e transact.Event) {
+// PublishTransaction publishes a transaction to the subscribers, as a netconf-config-change (RFC 6470). A confirmation
+// changes nothing and is not published.
+func (s *Server) PublishTransaction(e transact.Event) {
 	if e.Kind != datastore.KindConfirm {
 		s.stream.publish(event{e.At, "ietf-netconf-notifications", "netconf-config-change", configChangeXML(s.Model, e)})
 	}
 }
 
-// Event publishes a notification of the module brookmux-events to the subscribers. leaves are names and values; a leaf
-// with an empty value is omitted.
-func (s *Server) Event(name string, leaves ...[2]string) {
+// PublishEvent publishes a notification of the module brookmux-events to the subscribers. leaves are names and values;
+// a leaf with an empty value is omitted.
+func (s *Server) PublishEvent(name string, leaves ...[2]string) {
 	var b bytes.Buffer
 	b.WriteString("<" + name + ` xmlns="urn:brookmux:events">`)
 	for _, l := range leaves {
@@ -266,7 +266,7 @@
 	if handler == nil {
 		return nil, protocolError("operation-not-supported", op.Tag+" is not known here", [2]string{"bad-element", op.Tag})
 	}
-	if rules := sess.nacmRules(); rules != nil && !rules.Call(sess.dsSession.User, rpcModules[op.NamespaceURI()], op.Tag) {
+	if rules := sess.nacmRules(); rules != nil && !rules.MayCall(sess.dsSession.User, rpcModules[op.NamespaceURI()], op.Tag) {
 		return nil, protocolError("access-denied", sess.dsSession.User+" may not call "+op.Tag)
 	}
 	return handler(sess, op)
--- a/internal/netconf/ssh.go
+++ b/internal/netconf/ssh.go
@@ -33,8 +33,8 @@
 	// HostKeys returns the host keys of the server. With several, clients can learn the new key before the old one is
 	// removed.
 	HostKeys() []ssh.Signer
-	// Keys returns the public keys that a user may log in with, none for an unknown user.
-	Keys(user string) []ssh.PublicKey
+	// AuthorizedKeys returns the public keys that a user may log in with, none for an unknown user.
+	AuthorizedKeys(user string) []ssh.PublicKey
 }
 
 // Listener serves NETCONF over SSH (RFC 6242), with public key authentication only.
@@ -118,7 +118,7 @@
 // each log-in.
 func (l *Listener) sshConfig() *ssh.ServerConfig {
 	c := &ssh.ServerConfig{MaxAuthTries: maxAuthTries, PublicKeyCallback: func(m ssh.ConnMetadata, key ssh.PublicKey) (*ssh.Permissions, error) {
-		for _, k := range l.access.Keys(m.User()) {
+		for _, k := range l.access.AuthorizedKeys(m.User()) {
 			if bytes.Equal(k.Marshal(), key.Marshal()) {
 				return &ssh.Permissions{Extensions: map[string]string{"key": ssh.FingerprintSHA256(key)}}, nil
 			}
--- a/internal/schema/def.go
+++ b/internal/schema/def.go
@@ -324,8 +324,8 @@
 // Child returns the child with a name, or nil.
 func (d *Def) Child(name string) *Def { return d.byName[name] }
 
-// Leafy reports whether instances have a value: leaves and leaf-lists do.
-func (d *Def) Leafy() bool { return d.Kind == Leaf || d.Kind == LeafList }
+// HasValue reports whether instances have a value: leaves and leaf-lists do.
+func (d *Def) HasValue() bool { return d.Kind == Leaf || d.Kind == LeafList }
 
 // IsKey reports whether a node is a key of its list. It must not be called on the root.
 func (d *Def) IsKey() bool { return d.Parent.Kind == List && slices.Contains(d.Parent.Keys, d.Name) }
--- a/internal/schema/flat.go
+++ b/internal/schema/flat.go
@@ -25,7 +25,7 @@
 }
 
 // isItem reports whether a node is listed as an Item. All other nodes exist only for their descendants.
-func (n *Node) isItem() bool { return n.Def.Leafy() || n.Def.Presence }
+func (n *Node) isItem() bool { return n.Def.HasValue() || n.Def.Presence }
 
 // Put sets the item in the tree that n belongs to, and creates the missing nodes above it. The value may have any valid
 // lexical form. Keys can't be changed.
@@ -66,7 +66,7 @@
 		if err != nil && !errors.Is(err, ErrExists) {
 			return fmt.Errorf("%s: %w", i.Path, err)
 		}
-		for n, k := range d.Keys { // an earlier Take may have removed the key leaves of the entry
+		for n, k := range d.Keys { // an earlier RemovePath may have removed the key leaves of the entry
 			if c.children[k] == nil {
 				if _, err := c.Add(d.byName[k], keys[n]); err != nil {
 					return fmt.Errorf("%s: %w", i.Path, err)
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// Take removes the node at a path as Drop does. A missing node is not an error.
-func (n *Node) Take(path string) error {
+// RemovePath removes the node at a path as RemoveSelf does. A missing node is not an error.
+func (n *Node) RemovePath(path string) error {
 	at, err := n.Find(path)
 	if errors.Is(err, ErrMissing) {
 		return nil
@@ -87,13 +87,13 @@
 	if err != nil {
 		return err
 	}
-	at.Drop()
+	at.RemoveSelf()
 	return nil
 }
 
-// Drop removes a node with its descendants from its tree, and the non-presence containers and keyed list entries above
-// it that are empty then. On the root it removes all children.
-func (n *Node) Drop() {
+// RemoveSelf removes a node with its descendants from its tree, and the non-presence containers and keyed list entries
+// above it that are empty then. On the root it removes all children.
+func (n *Node) RemoveSelf() {
 	parent := n.Parent
 	if parent == nil {
 		n.children, n.sorted = nil, nil
@@ -101,7 +101,7 @@
 	}
 	parent.Remove(n)
 	if parent.Len() == 0 && (parent.Def.Kind == Container && !parent.Def.Presence || parent.Def.Kind == List && len(parent.Def.Keys) > 0) {
-		parent.Drop()
+		parent.RemoveSelf()
 	}
 }
 
@@ -190,7 +190,7 @@
 	for _, c := range changes {
 		var err error
 		if c.New == nil {
-			err = n.Take(c.Path)
+			err = n.RemovePath(c.Path)
 		} else {
 			err = n.Put(Item{c.Path, *c.New})
 		}
@@ -206,7 +206,7 @@
 // when the items of an entry are removed one by one.
 func (n *Node) Prune() {
 	for _, c := range n.Children() {
-		if c.Def.Leafy() {
+		if c.Def.HasValue() {
 			continue
 		}
 		c.Prune()
--- a/internal/schema/tree.go
+++ b/internal/schema/tree.go
@@ -135,7 +135,7 @@
 		return c, ErrExists
 	}
 	c := &Node{Def: d, Parent: n, id: id}
-	if d.Leafy() && len(keys) > 0 {
+	if d.HasValue() && len(keys) > 0 {
 		c.Value = keys[0]
 	}
 	if n.children == nil {
@@ -196,8 +196,8 @@
 	return c
 }
 
-// Adopt adds a deep copy of x as a child, replaces a child with the same name and keys, and returns the copy.
-func (n *Node) Adopt(x *Node) *Node {
+// AddCopy adds a deep copy of x as a child, replaces a child with the same name and keys, and returns the copy.
+func (n *Node) AddCopy(x *Node) *Node {
 	c := x.Clone()
 	n.lastSeq++
 	c.Parent, c.seq = n, n.lastSeq
--- a/internal/schema/validate.go
+++ b/internal/schema/validate.go
@@ -12,18 +12,18 @@
 
 // The error-tags of validation, edits and locks.
 const (
-	DataExists       Tag = "data-exists"
-	DataMissing      Tag = "data-missing"
-	InvalidValue     Tag = "invalid-value"
-	MissingElement   Tag = "missing-element"
-	UnknownElement   Tag = "unknown-element"
-	BadElement       Tag = "bad-element"
-	OperationFailed  Tag = "operation-failed"
-	ResourceDenied   Tag = "resource-denied"
-	AccessDenied     Tag = "access-denied"
-	LockDenied       Tag = "lock-denied"
-	InUse            Tag = "in-use"
-	OperationUnknown Tag = "operation-not-supported"
+	DataExists            Tag = "data-exists"
+	DataMissing           Tag = "data-missing"
+	InvalidValue          Tag = "invalid-value"
+	MissingElement        Tag = "missing-element"
+	UnknownElement        Tag = "unknown-element"
+	BadElement            Tag = "bad-element"
+	OperationFailed       Tag = "operation-failed"
+	ResourceDenied        Tag = "resource-denied"
+	AccessDenied          Tag = "access-denied"
+	LockDenied            Tag = "lock-denied"
+	InUse                 Tag = "in-use"
+	OperationNotSupported Tag = "operation-not-supported"
 )
 
 // Fault is an error at an instance, with the fields of a NETCONF rpc-error. AppTag, the error-app-tag, may be empty.
@@ -85,7 +85,7 @@
 		}
 	}
 	for _, c := range n.children {
-		if !c.Def.Leafy() {
+		if !c.Def.HasValue() {
 			c.fillDefaults()
 		}
 	}
@@ -293,7 +293,7 @@
 
 // Value returns the string-value of a node: the text of the node and its descendants (XPath 1.0, 5.2).
 func (x *navigator) Value() string {
-	if x.node.Def.Leafy() {
+	if x.node.Def.HasValue() {
 		return x.node.Value
 	}
 	var b strings.Builder
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -23,7 +23,7 @@
 	Keepalive      time.Duration // idle connections are closed after this
 	AnswerGrace    time.Duration // time allowed after a caller's deadline for the final answer
 	DrainGrace     time.Duration // period after the notification that a switch drains or is gone
-	MostHeld       int           // maximum number of open calls
+	MaxOpenCalls   int           // maximum number of open calls
 }
 
 // MS converts milliseconds, the unit of the settings and the wire, to a duration.
@@ -38,7 +38,7 @@
 		"": brookmux.Safe, "repeatable": brookmux.Safe, "by_key": brookmux.Keyed, "once": brookmux.Once}
 	scopes = map[string]brookmux.Scope{
 		"": brookmux.ScopeAll, "all": brookmux.ScopeAll, "zone": brookmux.ScopeZone, "cell": brookmux.ScopeCell}
-	reportModes = map[string]brookmux.ReportHow{
+	reportModes = map[string]brookmux.ReportMode{
 		"": brookmux.ReportsNone, "silent": brookmux.ReportsNone,
 		"piggyback": brookmux.ReportsAnswers, "pull": brookmux.ReportsProbe}
 	discoveries = map[string]bool{"": false, "push": false, "ask": true}
@@ -73,12 +73,12 @@
 		ReportNames: r.strs(report, "names"), Zones: r.strs(v, "zones"),
 		ConnectTimeout: r.ms(permissions, "connectTimeoutMs"), Keepalive: r.ms(permissions, "keepaliveMs"),
 		AnswerGrace: r.ms(rules, "graceToAnswerMs"), DrainGrace: r.ms(rules, "drainGraceMs"),
-		MostHeld: r.integer(permissions, "mostHeld"),
+		MaxOpenCalls: r.integer(permissions, "mostHeld"),
 	}
 	if specifics.Exists("here") {
 		s.Module.Here = r.integer(specifics, "here")
 	}
-	s.Module.Ask = lookup(&r, "discovery", r.str(v, "discovery"), discoveries)
+	s.Module.FollowMembers = lookup(&r, "discovery", r.str(v, "discovery"), discoveries)
 	s.Module.Pools = lookup(&r, "specifics.shape", r.str(specifics, "shape"), shapes)
 	s.Module.Reports = lookup(&r, "loadReport.how", r.str(report, "how"), reportModes)
 	for _, w := range r.list(specifics, "channelsNeeded") {
@@ -117,9 +117,10 @@
 	}
 }
 
-// After returns these settings with the class indexes of before, so that a class index stays valid across a change
-// of settings. Removed classes keep their index under an empty name, which no call has; new classes are appended.
-func (s Settings) After(before Settings) Settings {
+// WithIndexesOf returns these settings with the class indexes of before, so that a class index stays valid across a
+// change of settings. Removed classes keep their index under an empty name, which no call has; new classes are
+// appended.
+func (s Settings) WithIndexesOf(before Settings) Settings {
 	out := s
 	out.ClassNames = slices.Clone(before.ClassNames)
 	out.Module.Classes = slices.Clone(before.Module.Classes)
@@ -233,16 +234,16 @@
 	return v
 }
 
-// NoReport returns a load report with every value absent.
-func NoReport() brookmux.Report {
+// EmptyReport returns a load report with every value absent.
+func EmptyReport() brookmux.Report {
 	return brookmux.Report{Free: brookmux.Absent, Size: brookmux.Absent, Active: brookmux.Absent,
 		Queue: brookmux.Absent, Util: brookmux.Absent, Wait: brookmux.Absent, Rate: brookmux.Absent,
 		HoldBack: brookmux.Absent}
 }
 
-// Figure sets the report value with this wire name, as used in the settings or in a real core's report. Unknown names
-// are ignored.
-func Figure(r *brookmux.Report, name string, value float64) {
+// SetReportValue sets the report value with this wire name, as used in the settings or in a real core's report. Unknown
+// names are ignored.
+func SetReportValue(r *brookmux.Report, name string, value float64) {
 	switch name {
 	case "idle", "x0":
 		r.Free = value
--- a/internal/sipfront/conn.go
+++ b/internal/sipfront/conn.go
@@ -92,14 +92,14 @@
 		c.front.log.Debug("caller connection ended", "error", err)
 	}
 	if !c.cleanlyClosed(err) {
-		c.front.resendUnread(c) // before Part, which waits for the caller to read the remaining output
+		c.front.resendUnread(c) // before LingerClose, which waits for the caller to read the remaining output
 	}
 	if opErr := (*net.OpError)(nil); errors.Is(err, io.EOF) || errors.As(err, &opErr) && !opErr.Timeout() {
 		c.Finish() // the caller has closed the connection
 		<-c.Done()
 		c.Close()
 	} else {
-		c.Part()
+		c.LingerClose()
 	}
 	c.front.removeConn(c)
 }
@@ -372,8 +372,8 @@
 	return false
 }
 
-// Stands implements core.Caller.
-func (c *conn) Stands(key string, description []byte) {
+// Answered implements core.Caller.
+func (c *conn) Answered(key string, description []byte) {
 	c.faults.Store(0)
 	c.hadCall.Store(true)
 	if m, ok := c.takeInvite(key); ok {
@@ -390,9 +390,9 @@
 	}
 	status, reason := 503, "Service Unavailable"
 	switch {
-	case v.Bad:
+	case v.Invalid:
 		c.faults.Add(1)
-		status, reason = 400, v.Why
+		status, reason = 400, v.Detail
 	case v.Failed:
 		status, reason = 500, "Server Internal Error"
 	}
