--- a/internal/sipfront/front.go
+++ b/internal/sipfront/front.go
@@ -37,11 +37,11 @@
 	shutdownInterval = 10 * time.Millisecond
 )
 
-// Engine handles the requests of a front; *core.Engine implements it. Linked reports a new connection of a caller
-// group. Withdraw and Hangup report through then whether the call was known and, for Withdraw, whether its set-up was
-// pending.
+// Engine handles the requests of a front; *core.Engine implements it. CallerConnected reports a new connection of a
+// caller group. Withdraw and Hangup report through then whether the call was known and, for Withdraw, whether its
+// set-up was pending.
 type Engine interface {
-	Linked(group string)
+	CallerConnected(group string)
 	Offer(r core.Request)
 	Withdraw(who core.Caller, key string, then func(open, known bool))
 	CallerLost(who core.Caller, keys []string)
@@ -120,14 +120,14 @@
 	c := newConn(f, nc)
 	f.conns[c] = struct{}{}
 	go func() {
-		f.engine.Linked(c.group)
+		f.engine.CallerConnected(c.group)
 		c.serve(stream.NewReader(nc))
 	}()
 }
 
-// SetMost sets the maximum number of connections, at least one. Idle connections above it are evicted at once; the
+// SetMaxConns sets the maximum number of connections, at least one. Idle connections above it are evicted at once; the
 // number stays above it while the others have pending set-ups.
-func (f *Front) SetMost(maxConns int) {
+func (f *Front) SetMaxConns(maxConns int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for f.maxConns = max(1, maxConns); len(f.conns) > f.maxConns && f.evictOne(); {
@@ -336,9 +336,9 @@
 	f.sendRelease(nil, release{key: key, cause: cause, endedAt: time.Now()})
 }
 
-// Drain sets the time at which the process may be killed. It is called on SIGTERM; waits for callers are then
+// SetKillTime sets the time at which the process may be killed. It is called on SIGTERM; waits for callers are then
 // shortened to end before that time.
-func (f *Front) Drain(killAt time.Time) {
+func (f *Front) SetKillTime(killAt time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.killAt = killAt
--- a/internal/sipfront/message.go
+++ b/internal/sipfront/message.go
@@ -142,8 +142,8 @@
 		return core.Request{}, &messageError{400, "X-Deadline is missing or malformed"}
 	}
 	r := core.Request{Key: m.callID(), Class: m.header.Get("X-Tier"), Number: number, Width: 1, Via: -1, Destination: -1,
-		Resent: m.header.Get("X-Resent") != "" && m.header.Get("X-Resent") != "0",
-		Left:   time.Duration(timeout) * time.Millisecond, Description: m.body}
+		Resent:    m.header.Get("X-Resent") != "" && m.header.Get("X-Resent") != "0",
+		Remaining: time.Duration(timeout) * time.Millisecond, Description: m.body}
 	if r.Class == "" {
 		return r, &messageError{400, "X-Tier is missing"}
 	}
--- a/internal/sipfront/pace.go
+++ b/internal/sipfront/pace.go
@@ -40,7 +40,7 @@
 		return
 	}
 	q.lastID++
-	admitted, waits := q.pacer.Come(time.Since(q.origin), maphash.String(f.seed, callerGroup(nc)), q.lastID)
+	admitted, waits := q.pacer.Arrive(time.Since(q.origin), maphash.String(f.seed, callerGroup(nc)), q.lastID)
 	if waits {
 		q.waiting[q.lastID] = nc
 		if q.timer == nil {
--- a/internal/sipfront/pace_test.go
+++ b/internal/sipfront/pace_test.go
@@ -21,7 +21,7 @@
 // stubEngine ignores new connections; any other call panics.
 type stubEngine struct{ Engine }
 
-func (stubEngine) Linked(string) {}
+func (stubEngine) CallerConnected(string) {}
 
 // TestReconnects guards against a group with thousands of reconnections locking out the others, within the
 // connections that 256 descriptors leave for callers. Another group must be served throughout, and the limits on open
@@ -29,7 +29,7 @@
 func TestReconnects(t *testing.T) {
 	const maxConns, maxWaiting = 256 / 3, 20
 	phase := &lifecycle.Lifecycle{}
-	require.NoError(t, phase.To(lifecycle.Ready))
+	require.NoError(t, phase.Advance(lifecycle.Ready))
 	f := New(stubEngine{}, phase, maxConns-maxWaiting, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	p, err := storm.NewPacer(storm.Pace{PerSecond: 400, Burst: 20, Waiting: maxWaiting})
 	require.NoError(t, err)
--- a/internal/sipfront/release_test.go
+++ b/internal/sipfront/release_test.go
@@ -27,7 +27,7 @@
 // newFront returns a front with numCallers connected callers. The front's watch runs until the test ends.
 func newFront(t *testing.T, numCallers int) (*Front, []*caller) {
 	phase := &lifecycle.Lifecycle{}
-	require.NoError(t, phase.To(lifecycle.Ready))
+	require.NoError(t, phase.Advance(lifecycle.Ready))
 	f := New(stubEngine{}, phase, 10, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	go f.watch(t.Context())
 	start := time.Now()
--- a/internal/sipfront/resend_test.go
+++ b/internal/sipfront/resend_test.go
@@ -26,7 +26,7 @@
 func TestReleaseResent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		phase := &lifecycle.Lifecycle{}
-		require.NoError(t, phase.To(lifecycle.Ready))
+		require.NoError(t, phase.Advance(lifecycle.Ready))
 		f := New(stubEngine{}, phase, 10, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		connect := func(key int) (*conn, net.Conn, *bufio.Reader) {
 			local, far := net.Pipe()
--- a/internal/standin/attempt.go
+++ b/internal/standin/attempt.go
@@ -34,7 +34,7 @@
 func (n *Node) SetUp(to brookmux.SwitchID, t core.Attempt) {
 	m := n.mesh
 	a := &attempt{key: t.Key, call: m.callInfo[t.Key], from: n, epoch: n.epoch, to: m.nodeOf(to),
-		timeout: t.Left, open: true}
+		timeout: t.Timeout, open: true}
 	m.Ledger.attemptSent(n, a, to)
 	n.attempts[t.Key] = a
 	if !m.seizeCircuits(n, a.to, a.call.width) {
@@ -73,7 +73,7 @@
 	}
 	there.Proc.SetUp(wanted, func() {
 		if there.number == a.call.destination {
-			if m.Spoilt > 0 && m.rng.Float64() < m.Spoilt {
+			if m.LostAnswers > 0 && m.rng.Float64() < m.LostAnswers {
 				a.end(core.Outcome{Result: brookmux.ResultReset, Cause: core.TemporaryFailure}, resetDelay)
 				return
 			}
@@ -86,7 +86,7 @@
 		}
 		a.tandem = there
 		there.withEngine(func(e *core.Engine) {
-			e.Offer(core.Request{Key: a.key, Class: m.Settings.ClassNames[a.call.class], Number: "1", Left: a.timeout,
+			e.Offer(core.Request{Key: a.key, Class: m.Settings.ClassNames[a.call.class], Number: "1", Remaining: a.timeout,
 				Destination: a.call.destination, Width: a.call.width, Via: a.from.number, Transit: true, Caller: a})
 		})
 	}, rejected)
@@ -174,13 +174,13 @@
 // ReleaseAnywhere implements core.Trunks. It does nothing.
 func (n *Node) ReleaseAnywhere(string, core.Cause) {}
 
-// Stands implements core.Caller for a call in transit: it sends the answer back.
-func (a *attempt) Stands(string, []byte) { a.sendAnswer() }
+// Answered implements core.Caller for a call in transit: it sends the answer back.
+func (a *attempt) Answered(string, []byte) { a.sendAnswer() }
 
 // Refuse implements core.Caller for a call in transit: the tandem rejects it.
 func (a *attempt) Refuse(string, core.Verdict) {
 	m := a.from.mesh
-	a.end(core.Outcome{Result: brookmux.ResultFull, Reason: brookmux.ReasonTurnedBack, Cause: 34}, m.Delay(a.from.number, a.to.number))
+	a.end(core.Outcome{Result: brookmux.ResultFull, Reason: brookmux.ReasonRejectedByTandem, Cause: 34}, m.Delay(a.from.number, a.to.number))
 }
 
 // Release implements core.Caller for a call in transit: the call has ended.
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -12,23 +12,23 @@
 	"brookmux/internal/core"
 )
 
-// Habit describes the behavior of callers.
-type Habit struct {
-	MaxRedials   int              // maximum further tries of a call
-	IgnoreAdvice float64          // share of the callers that ignore retry advice
-	PerHost      int              // number of addresses that the callers share; 0 for a random address per call
-	OneNumber    float64          // share of the calls to one common number
-	Elsewhere    float64          // share of the further tries at another controller
-	Group        string           // caller group of an M3UA peer; empty for SIP callers, grouped by address
-	Jitter       float64          // maximum random addition to the retry advice, as a share of it
-	RedialWait   [2]time.Duration // range of the wait before a further try without advice
-	TimeoutShare [2]float64       // range of the caller's timeout for a try, as a share of the class's deadline
-	Upgrade      float64          // share of the calls that are of class 1
+// CallerConfig describes the behavior of callers.
+type CallerConfig struct {
+	MaxRedials      int              // maximum further tries of a call
+	IgnoreAdvice    float64          // share of the callers that ignore retry advice
+	SharedHosts     int              // number of addresses that the callers share; 0 for a random address per call
+	OneNumber       float64          // share of the calls to one common number
+	OtherController float64          // share of the further tries at another controller
+	Group           string           // caller group of an M3UA peer; empty for SIP callers, grouped by address
+	Jitter          float64          // maximum random addition to the retry advice, as a share of it
+	RedialWait      [2]time.Duration // range of the wait before a further try without advice
+	TimeoutShare    [2]float64       // range of the caller's timeout for a try, as a share of the class's deadline
+	Upgrade         float64          // share of the calls that are of class 1
 }
 
 // Callers generates the calls of an exchange's subscribers, as a Poisson process.
 type Callers struct {
-	Habit
+	CallerConfig
 	mesh         *Mesh
 	node         *Node
 	destinations []float64 // share of the calls by destination exchange
@@ -62,18 +62,18 @@
 	closed       bool
 }
 
-// Call starts callers at an exchange with a rate in calls per second. They call until the mesh ends. destinations is
-// the share of the calls by exchange, and r records the calls.
-func (m *Mesh) Call(exchange int, rate float64, destinations []float64, habit Habit, record *Record) *Callers {
-	c := &Callers{Habit: habit, mesh: m, node: m.nodes[exchange], destinations: destinations, rate: rate, Record: record,
+// StartCallers starts callers at an exchange with a rate in calls per second. They call until the mesh ends.
+// destinations is the share of the calls by exchange, and r records the calls.
+func (m *Mesh) StartCallers(exchange int, rate float64, destinations []float64, config CallerConfig, record *Record) *Callers {
+	c := &Callers{CallerConfig: config, mesh: m, node: m.nodes[exchange], destinations: destinations, rate: rate, Record: record,
 		rng: rand.New(rand.NewPCG(m.Seed, uint64(exchange)+1000))}
 	c.scheduleNext()
 	m.callers = append(m.callers, c)
 	return c
 }
 
-// Loads returns the callers in the order in which they were started.
-func (m *Mesh) Loads() []*Callers { return m.callers }
+// Callers returns the callers in the order in which they were started.
+func (m *Mesh) Callers() []*Callers { return m.callers }
 
 // SetRate changes the rate in calls per second, from the next interval on.
 func (c *Callers) SetRate(rate float64) { c.rate = rate }
@@ -106,8 +106,8 @@
 	k.host = fmt.Sprintf("10.%d.%d.%d", c.node.number, c.rng.IntN(200), c.rng.IntN(200))
 	if c.Group != "" {
 		k.host = c.Group
-	} else if c.PerHost > 0 {
-		k.host = fmt.Sprintf("10.%d.0.%d", c.node.number, c.rng.IntN(c.PerHost))
+	} else if c.SharedHosts > 0 {
+		k.host = fmt.Sprintf("10.%d.0.%d", c.node.number, c.rng.IntN(c.SharedHosts))
 	}
 	if c.rng.Float64() < c.OneNumber {
 		k.number = "5ea7"
@@ -128,7 +128,7 @@
 	k.Tries++
 	deadline := m.Settings.Module.Classes[k.Class].Deadline
 	at := c.node
-	if k.Tries > 1 && c.rng.Float64() < c.Elsewhere {
+	if k.Tries > 1 && c.rng.Float64() < c.OtherController {
 		if o := m.nodes[c.rng.IntN(m.Controllers)]; o.number != k.Destination {
 			at = o
 		}
@@ -148,8 +148,8 @@
 	at.openTries[t] = struct{}{}
 	at.Proc.Do(at.Proc.Receive, nil, nil)
 	at.withEngine(func(e *core.Engine) {
-		e.Linked(k.host) // each try has its own connection
-		e.Offer(core.Request{Key: t.key, Class: m.Settings.ClassNames[k.Class], Number: k.number, Left: t.timeout,
+		e.CallerConnected(k.host) // each try has its own connection
+		e.Offer(core.Request{Key: t.key, Class: m.Settings.ClassNames[k.Class], Number: k.number, Remaining: t.timeout,
 			Destination: k.Destination, Width: 1, Via: -1, Caller: t, Group: k.host, Resent: k.Tries > 1})
 	})
 	m.After(t.timeout, func() {
@@ -190,8 +190,8 @@
 	}
 }
 
-// Stands implements core.Caller: the call is answered.
-func (t *try) Stands(string, []byte) {
+// Answered implements core.Caller: the call is answered.
+func (t *try) Answered(string, []byte) {
 	t.node.mesh.Ledger.callerAnswered(t)
 	if t.closed {
 		return
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -14,7 +14,7 @@
 	openAttempts map[attemptKey]int           // number of open attempts of a call
 	noSendUntil  map[attemptKey]time.Duration // end of the release wait, until which the call must not be sent again
 	Sent         int                          // attempts sent
-	Broken       []string                     // descriptions of the first 20 violations
+	Violations   []string                     // descriptions of the first 20 violations
 }
 
 // attemptKey identifies a call at a controller; epoch tells the controller's starts apart.
@@ -29,8 +29,8 @@
 
 // violation records a rule violation with its time since the start of the mesh.
 func (l *Ledger) violation(format string, args ...any) {
-	if len(l.Broken) < 20 {
-		l.Broken = append(l.Broken, fmt.Sprintf("%v: %s", l.mesh.Now()-dayStart, fmt.Sprintf(format, args...)))
+	if len(l.Violations) < 20 {
+		l.Violations = append(l.Violations, fmt.Sprintf("%v: %s", l.mesh.Now()-dayStart, fmt.Sprintf(format, args...)))
 	}
 }
 
--- a/internal/standin/loopback/callers.go
+++ b/internal/standin/loopback/callers.go
@@ -15,22 +15,22 @@
 
 // Load describes the calls and the behavior of callers.
 type Load struct {
-	Rate    float64       // calls per second
-	Redials int           // maximum further tries of a call
-	Ignore  float64       // share of the callers that ignore retry advice
-	Aim     time.Duration // calls answered within this are served in time; for the evaluation only
-	Give    time.Duration // time after which callers abandon a call
-	Seed    uint64
-	To      []int // destination exchanges, in rotation; empty for exchange 1
+	Rate         float64       // calls per second
+	MaxRedials   int           // maximum further tries of a call
+	IgnoreAdvice float64       // share of the callers that ignore retry advice
+	Aim          time.Duration // calls answered within this are served in time; for the evaluation only
+	Deadline     time.Duration // time after which callers abandon a call
+	Seed         uint64
+	To           []int // destination exchanges, in rotation; empty for exchange 1
 }
 
 // Call is the result of a call with all its tries.
 type Call struct {
-	At    time.Duration // first try, since the start of the load
-	Stood time.Duration // from the first try to the answer; 0 if never answered
-	Tries int
-	Told  []time.Duration // waits from the retry advice
-	Lost  int             // tries without a final answer
+	FirstTryAt   time.Duration // first try, since the start of the load
+	TimeToAnswer time.Duration // from the first try to the answer; 0 if never answered
+	Tries        int
+	AdvisedWaits []time.Duration // waits from the retry advice
+	Unanswered   int             // tries without a final answer
 }
 
 // Callers runs the calls of a Load to an address, each try on its own connection.
@@ -65,27 +65,27 @@
 
 // runCall makes a call with its further tries and records the result.
 func (c *Callers) runCall(rng *rand.Rand) {
-	first, ignoresAdvice, number := time.Now(), rng.Float64() < c.Ignore, rng.Uint64()|1
-	k := &Call{At: first.Sub(c.startedAt)}
-	for k.Tries <= c.Redials {
+	first, ignoresAdvice, number := time.Now(), rng.Float64() < c.IgnoreAdvice, rng.Uint64()|1
+	k := &Call{FirstTryAt: first.Sub(c.startedAt)}
+	for k.Tries <= c.MaxRedials {
 		k.Tries++
-		timeout := time.Duration((0.3 + 0.1*rng.Float64()) * float64(c.Give))
-		stood, answered, retryAfter := c.try(number, k.Tries > 1, min(timeout, c.Give-time.Since(first)))
+		timeout := time.Duration((0.3 + 0.1*rng.Float64()) * float64(c.Deadline))
+		stood, answered, retryAfter := c.try(number, k.Tries > 1, min(timeout, c.Deadline-time.Since(first)))
 		if stood {
-			k.Stood = max(1, time.Since(first))
+			k.TimeToAnswer = max(1, time.Since(first))
 			break
 		}
 		if !answered {
-			k.Lost++
+			k.Unanswered++
 		}
 		if retryAfter > 0 {
-			k.Told = append(k.Told, retryAfter)
+			k.AdvisedWaits = append(k.AdvisedWaits, retryAfter)
 		}
 		wait := retryAfter
 		if wait == 0 || ignoresAdvice {
 			wait = 300*time.Millisecond + time.Duration(rng.Float64()*float64(900*time.Millisecond))
 		}
-		if time.Since(first)+wait >= c.Give {
+		if time.Since(first)+wait >= c.Deadline {
 			break
 		}
 		time.Sleep(wait)
--- a/internal/standin/loopback/core.go
+++ b/internal/standin/loopback/core.go
@@ -81,8 +81,8 @@
 	return c.longestWait, c.rejected
 }
 
-// Asked returns the number of set-ups received.
-func (c *Core) Asked() int {
+// SetUps returns the number of set-ups received.
+func (c *Core) SetUps() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.received
--- a/internal/standin/mesh.go
+++ b/internal/standin/mesh.go
@@ -24,14 +24,14 @@
 type Config struct {
 	Exchanges   int
 	Controllers int                                // exchanges from 0 on with a controller; the others only answer
-	Lines       []ProcessorConfig                  // processors by exchange; without Costs jobs take no time
+	Processors  []ProcessorConfig                  // processors by exchange; without Costs jobs take no time
 	Circuits    func(a, b int) int                 // size of the circuit group between two exchanges
 	Delay       func(a, b int) time.Duration       // one-way delay between two exchanges
 	Hold        []time.Duration                    // mean duration of a call, by class
 	Settings    settings.Settings                  // Start sets Module.Here for each controller
 	Engine      func(exchange int, c *core.Config) // changes the configuration of each controller; may be nil
 	Reports     bool                               // exchanges report the waits of their processors
-	Spoilt      float64                            // share of the set-ups whose answers are lost in a reset
+	LostAnswers float64                            // share of the set-ups whose answers are lost in a reset
 	Seed        uint64
 	Log         *slog.Logger // nil discards the log
 }
@@ -85,7 +85,7 @@
 	m.now = dayStart
 	m.Ledger = newLedger(m)
 	for i := range config.Exchanges {
-		m.nodes = append(m.nodes, &Node{mesh: m, number: i, Proc: newProcessor(&m.Clock, config.Lines[i])})
+		m.nodes = append(m.nodes, &Node{mesh: m, number: i, Proc: newProcessor(&m.Clock, config.Processors[i])})
 		for j := range i {
 			m.circuitGroups[[2]int{j, i}] = &circuitGroup{size: float64(config.Circuits(j, i))}
 		}
@@ -150,7 +150,7 @@
 	n.clock = c.Clock
 	n.engine, n.attempts, n.openTries, n.wakeAt = e, map[string]*attempt{}, map[*try]struct{}{}, 0
 	n.epoch++
-	e.Listed(m.members())
+	e.MembersChanged(m.members())
 	for _, other := range m.nodes {
 		if other != n {
 			n.reportCircuits(other)
@@ -208,7 +208,7 @@
 	}
 	m.After(listUpdateDelay, func() {
 		for _, o := range m.nodes {
-			o.withEngine(func(e *core.Engine) { e.Listed(m.members()) })
+			o.withEngine(func(e *core.Engine) { e.MembersChanged(m.members()) })
 		}
 	})
 }
@@ -249,7 +249,7 @@
 // report returns an exchange's report on the circuit group toward it and, with withWait and Config.Reports, on its
 // processor's wait.
 func (n *Node) report(to *Node, withWait bool) brookmux.Report {
-	r, g := settings.NoReport(), n.mesh.groupBetween(n.number, to.number)
+	r, g := settings.EmptyReport(), n.mesh.groupBetween(n.number, to.number)
 	r.Free, r.Size = g.size-g.used, g.size
 	if withWait && n.mesh.Reports {
 		r.Wait = to.sampledWait
--- a/internal/standin/mesh_test.go
+++ b/internal/standin/mesh_test.go
@@ -11,22 +11,22 @@
 // with the same seed gives the same results.
 func TestSameSeed(t *testing.T) {
 	play := func() (Tally, int) {
-		m, err := NewMesh(MeshDay(5, 10, 7))
+		m, err := NewMesh(MeshConfig(5, 10, 7))
 		require.NoError(t, err)
 		r := NewRecord()
 		for i := range 5 {
-			m.Call(i, 11, Shares(5, i), Impatient(0.3), r)
+			m.StartCallers(i, 11, Shares(5, i), Impatient(0.3), r)
 		}
-		m.Until(5 * time.Second)
+		m.RunUntil(5 * time.Second)
 		m.Kill(1)
 		m.Kill(2)
-		m.Until(8 * time.Second)
+		m.RunUntil(8 * time.Second)
 		m.Replace(2)
 		require.NoError(t, m.Start(1))
 		require.NoError(t, m.Start(2))
 		m.Node(3).Proc.Stall(3 * time.Second)
-		m.Until(20 * time.Second)
-		require.Empty(t, m.Ledger.Broken)
+		m.RunUntil(20 * time.Second)
+		require.Empty(t, m.Ledger.Violations)
 		return m.Span(r, 0, 20*time.Second, nil), m.Ledger.Sent
 	}
 	a, sent := play()
@@ -40,7 +40,7 @@
 func TestFallsOver(t *testing.T) {
 	for _, cold := range []bool{false, true} {
 		c := &Clock{now: dayStart}
-		p := newProcessor(c, MeshDay(2, 10, 1).Lines[0])
+		p := newProcessor(c, MeshConfig(2, 10, 1).Processors[0])
 		if cold {
 			p.Restart()
 		}
@@ -48,6 +48,6 @@
 			c.Run(c.Now() + 5*time.Millisecond)
 			p.SetUp(func() bool { return true }, func() {}, func() {})
 		}
-		require.Equal(t, cold, p.Fell)
+		require.Equal(t, cold, p.Crashed)
 	}
 }
--- a/internal/standin/processor.go
+++ b/internal/standin/processor.go
@@ -15,7 +15,7 @@
 // ProcessorConfig configures a single-server processor.
 type ProcessorConfig struct {
 	Costs
-	TurnAway        time.Duration // set-ups that would wait longer are rejected; 0 for none
+	MaxWait         time.Duration // set-ups that would wait longer are rejected; 0 for none
 	RetransmitAfter time.Duration // first retransmission of a waiting set-up, then at doubling intervals; 0 for none
 	ColdFrom        float64       // initial speed of a cold processor, as a share of its full speed
 	WarmWithin      time.Duration // from a cold start to full speed
@@ -37,9 +37,9 @@
 	slowFactor   float64   // share of its speed; 0 for full speed
 	coldArrivals []arrival // set-ups of the last FallWindow, while cold
 
-	Worst  time.Duration // longest wait of an arriving set-up
-	Turned int           // set-ups rejected
-	Fell   bool          // it failed from overload while cold
+	LongestWait time.Duration // longest wait of an arriving set-up
+	Rejected    int           // set-ups rejected
+	Crashed     bool          // it failed from overload while cold
 }
 
 // job is a unit of work in a processor's queue.
@@ -61,7 +61,7 @@
 
 // Restart replaces the processor by a cold one with an empty queue.
 func (p *Processor) Restart() {
-	p.startedAt, p.queue, p.queuedCost, p.busy, p.stalled, p.slowFactor, p.Fell, p.coldArrivals =
+	p.startedAt, p.queue, p.queuedCost, p.busy, p.stalled, p.slowFactor, p.Crashed, p.coldArrivals =
 		p.clock.Now(), nil, 0, false, false, 0, false, nil
 	p.epoch++
 }
@@ -116,13 +116,13 @@
 	p.startNext()
 }
 
-// SetUp queues a set-up, and retransmissions while it waits, or rejects it if it would wait longer than TurnAway. done
+// SetUp queues a set-up, and retransmissions while it waits, or rejects it if it would wait longer than MaxWait. done
 // runs when it completes; refused runs at once when it is rejected.
 func (p *Processor) SetUp(wanted func() bool, done, refused func()) {
 	p.checkOverload()
 	wait := p.Wait()
-	if p.Worst = max(p.Worst, wait); p.TurnAway > 0 && wait > p.TurnAway {
-		p.Turned++
+	if p.LongestWait = max(p.LongestWait, wait); p.MaxWait > 0 && wait > p.MaxWait {
+		p.Rejected++
 		p.Do(p.Refuse, nil, nil)
 		refused()
 		return
@@ -162,13 +162,13 @@
 		sum += a.cost
 	}
 	if float64(sum) > p.FallMultiple*speed*float64(p.FallWindow) {
-		p.Fell = true
+		p.Crashed = true
 	}
 }
 
 // startNext starts the first job that is still wanted, if the processor is idle, not stalled and has not failed.
 func (p *Processor) startNext() {
-	for !p.busy && !p.stalled && !p.Fell && len(p.queue) > 0 {
+	for !p.busy && !p.stalled && !p.Crashed && len(p.queue) > 0 {
 		j := p.queue[0]
 		p.queue = p.queue[1:]
 		if j.wanted != nil && !j.wanted() {
--- a/internal/standin/record.go
+++ b/internal/standin/record.go
@@ -4,13 +4,13 @@
 
 // Record records calls and their results.
 type Record struct {
-	Calls     []*Call
-	Told      map[[2]int][]time.Duration // advised waits in order, by exchange number and epoch of the controller
-	Unreached int                        // tries at controllers that were down
+	Calls        []*Call
+	AdvisedWaits map[[2]int][]time.Duration // advised waits in order, by exchange number and epoch of the controller
+	Unreached    int                        // tries at controllers that were down
 }
 
 // NewRecord returns an empty Record.
-func NewRecord() *Record { return &Record{Told: map[[2]int][]time.Duration{}} }
+func NewRecord() *Record { return &Record{AdvisedWaits: map[[2]int][]time.Duration{}} }
 
 // addCall records a new call.
 func (r *Record) addCall(k *Call) { r.Calls = append(r.Calls, k) }
@@ -19,14 +19,14 @@
 func (r *Record) addWait(by *Node, wait time.Duration) {
 	if wait > 0 {
 		k := [2]int{by.number, by.epoch}
-		r.Told[k] = append(r.Told[k], wait.Round(time.Millisecond))
+		r.AdvisedWaits[k] = append(r.AdvisedWaits[k], wait.Round(time.Millisecond))
 	}
 }
 
-// Alike returns how many advised waits repeat one of the preceding window waits of the same controller.
-func (r *Record) Alike(window int) int {
+// RepeatedWaits returns how many advised waits repeat one of the preceding window waits of the same controller.
+func (r *Record) RepeatedWaits(window int) int {
 	repeated := 0
-	for _, waits := range r.Told {
+	for _, waits := range r.AdvisedWaits {
 		recent := map[time.Duration]int{}
 		for i, w := range waits {
 			if i >= window {
@@ -41,8 +41,8 @@
 	return repeated
 }
 
-// OfDay converts a time of the virtual clock to the time since the start of the mesh.
-func OfDay(at time.Duration) time.Duration { return at - dayStart }
+// SinceStart converts a time of the virtual clock to the time since the start of the mesh.
+func SinceStart(at time.Duration) time.Duration { return at - dayStart }
 
 // Tally sums up the calls of a period.
 type Tally struct {
@@ -79,5 +79,5 @@
 	return t
 }
 
-// Until runs the mesh up to a time since its start.
-func (m *Mesh) Until(t time.Duration) { m.Run(dayStart + t) }
+// RunUntil runs the mesh up to a time since its start.
+func (m *Mesh) RunUntil(t time.Duration) { m.Run(dayStart + t) }
--- a/internal/standin/scenario.go
+++ b/internal/standin/scenario.go
@@ -18,7 +18,7 @@
 				{Aim: 1500 * time.Millisecond, Deadline: 9 * time.Second, Hold: 11 * time.Second, Worth: 1, LateWorth: 0.25},
 				{Aim: time.Second, Deadline: 6 * time.Second, Hold: 6600 * time.Millisecond, Worth: 8, LateWorth: 0.1}}},
 		ClassNames: []string{"result-page", "round-update"}, Widths: []float64{1, 1},
-		AnswerGrace: 20 * time.Millisecond, DrainGrace: time.Second, MostHeld: 20000,
+		AnswerGrace: 20 * time.Millisecond, DrainGrace: time.Second, MaxOpenCalls: 20000,
 	}
 }
 
@@ -28,33 +28,33 @@
 	s := MeshSettings(2)
 	s.Module.Classes[0].Hold, s.Module.Classes[1].Hold = 300*time.Millisecond, 300*time.Millisecond
 	return Config{Exchanges: 2, Controllers: 1, Settings: s, Seed: seed, Reports: true,
-		Lines: []ProcessorConfig{{}, {Costs: Costs{SetUp: time.Duration(float64(time.Second) / perSecond)},
-			TurnAway: 3 * time.Second, ColdFrom: 0.3, WarmWithin: 14 * time.Second, FallMultiple: 4, FallWindow: 2 * time.Second}},
+		Processors: []ProcessorConfig{{}, {Costs: Costs{SetUp: time.Duration(float64(time.Second) / perSecond)},
+			MaxWait: 3 * time.Second, ColdFrom: 0.3, WarmWithin: 14 * time.Second, FallMultiple: 4, FallWindow: 2 * time.Second}},
 		Circuits: func(int, int) int { return 2000 },
 		Delay:    func(int, int) time.Duration { return time.Millisecond },
 		Hold:     []time.Duration{300 * time.Millisecond, 300 * time.Millisecond}}
 }
 
 // Impatient returns callers that redial up to twice; ignoreAdvice is the share that ignores retry advice.
-func Impatient(ignoreAdvice float64) Habit {
-	return Habit{MaxRedials: 2, IgnoreAdvice: ignoreAdvice, PerHost: 0,
+func Impatient(ignoreAdvice float64) CallerConfig {
+	return CallerConfig{MaxRedials: 2, IgnoreAdvice: ignoreAdvice, SharedHosts: 0,
 		RedialWait: [2]time.Duration{300 * time.Millisecond, 1200 * time.Millisecond}, TimeoutShare: [2]float64{0.3, 0.4}}
 }
 
-// MeshDay returns the configuration of a mesh of n exchanges, each with a controller. Calls take processing time at
+// MeshConfig returns the configuration of a mesh of n exchanges, each with a controller. Calls take processing time at
 // both ends, and traffic is uneven. planned is the number of calls per second from each exchange at the planned load.
-func MeshDay(n int, planned float64, seed uint64) Config {
+func MeshConfig(n int, planned float64, seed uint64) Config {
 	s := MeshSettings(n)
 	costUnit := time.Duration(0.82 / planned / 72 * float64(time.Second)) // processors 82% utilized at the planned load
 	processor := ProcessorConfig{Costs: Costs{Receive: 10 * costUnit, SetUp: 18 * costUnit, Answer: 8 * costUnit,
 		Release: 5 * costUnit, Refuse: 6 * costUnit, Retransmission: 4 * costUnit},
-		TurnAway: 3 * time.Second, RetransmitAfter: 500 * time.Millisecond,
+		MaxWait: 3 * time.Second, RetransmitAfter: 500 * time.Millisecond,
 		ColdFrom: 0.3, WarmWithin: 14 * time.Second, FallMultiple: 4, FallWindow: 2 * time.Second}
 	c := Config{Exchanges: n, Controllers: n, Settings: s, Seed: seed, Reports: true,
 		Delay: func(a, b int) time.Duration { return time.Duration(9+(a+b)%4*5) * time.Millisecond },
 		Hold:  []time.Duration{11 * time.Second, 6600 * time.Millisecond}}
 	for range n {
-		c.Lines = append(c.Lines, processor)
+		c.Processors = append(c.Processors, processor)
 	}
 	c.Circuits = func(a, b int) int {
 		busy := planned * (Shares(n, a)[b] + Shares(n, b)[a]) * 10.7
@@ -63,7 +63,7 @@
 	return c
 }
 
-// Shares returns the share of an exchange's calls to each exchange of a MeshDay.
+// Shares returns the share of an exchange's calls to each exchange in MeshConfig.
 func Shares(n, from int) []float64 {
 	shares, sum := make([]float64, n), 0.0
 	for i := range shares {
--- a/internal/storm/detect.go
+++ b/internal/storm/detect.go
@@ -197,8 +197,8 @@
 	return m
 }
 
-// Linked records a new connection or association of a caller group.
-func (s *Storm) Linked(now time.Duration, group uint64) {
+// CallerConnected records a new connection or association of a caller group.
+func (s *Storm) CallerConnected(now time.Duration, group uint64) {
 	now = s.advance(now)
 	s.total.links.add(now, 1, fastSpan)
 	s.groupMeter(group).links.add(now, 1, fastSpan)
--- a/internal/storm/pace.go
+++ b/internal/storm/pace.go
@@ -87,9 +87,9 @@
 	return g
 }
 
-// Come handles a new connection of a caller group: it is served at once, or it is queued and waits until Next returns
+// Arrive handles a new connection of a caller group: it is served at once, or it is queued and waits until Next returns
 // its id, or it is rejected, with both results false.
-func (p *Pacer) Come(now time.Duration, hash, id uint64) (served, waits bool) {
+func (p *Pacer) Arrive(now time.Duration, hash, id uint64) (served, waits bool) {
 	p.refill(now)
 	g := p.group(now, hash)
 	if p.tokens >= 1 && p.queued == 0 {
--- a/internal/storm/storm.go
+++ b/internal/storm/storm.go
@@ -97,7 +97,7 @@
 // Counts holds totals since the start.
 type Counts struct {
 	Offered, Redials, Ignorers int             // calls, redials among them, calls of callers that ignore advice
-	Turned                     [numReasons]int // rejected calls
+	Rejected                   [numReasons]int // rejected calls
 	Vetoed                     int             // further attempts denied by a retry budget
 	Ramps                      int             // ramp-ups restarted after an outage or with a new processor
 }
@@ -213,7 +213,7 @@
 	meanWorthWeight = 0.02 // weight of one call in the mean worth
 )
 
-// Offered decides whether an incoming call is admitted. An admitted call counts as open until Stood or Over is
+// Offered decides whether an incoming call is admitted. An admitted call counts as open until Answered or Unanswered is
 // called for it.
 func (s *Storm) Offered(now time.Duration, o Offer) Verdict {
 	now = s.advance(now)
@@ -246,7 +246,7 @@
 		}
 	}
 	if v.Reason != Admitted {
-		s.counts.Turned[v.Reason]++
+		s.counts.Rejected[v.Reason]++
 		if !o.Transit {
 			v.Wait = s.advise(now, d, o.Caller, tries)
 		}
@@ -299,9 +299,9 @@
 	return true
 }
 
-// Stood records that a set-up of an open call was answered after took. direct reports whether the set-up went
+// Answered records that a set-up of an open call was answered after took. direct reports whether the set-up went
 // straight to the destination, so that took measures the destination alone.
-func (s *Storm) Stood(now time.Duration, number int, caller uint64, took time.Duration, direct bool) {
+func (s *Storm) Answered(now time.Duration, number int, caller uint64, took time.Duration, direct bool) {
 	now = s.advance(now)
 	d := s.dest(number)
 	d.open = max(0, d.open-1)
@@ -319,8 +319,8 @@
 // Failed records a set-up that a full processor rejected, or that was lost.
 func (s *Storm) Failed(now time.Duration, number int) { s.dest(number).backOff(s.advance(now)) }
 
-// Over records that an open call ended without being answered.
-func (s *Storm) Over(now time.Duration, number int) {
+// Unanswered records that an open call ended without being answered.
+func (s *Storm) Unanswered(now time.Duration, number int) {
 	s.advance(now)
 	d := s.dest(number)
 	d.open = max(0, d.open-1)
@@ -337,9 +337,9 @@
 	}
 }
 
-// Started records that an exchange has a new processor. The window ramps up again, because the capacity of the
+// ProcessorStarted records that an exchange has a new processor. The window ramps up again, because the capacity of the
 // previous processor says nothing about the new one.
-func (s *Storm) Started(now time.Duration, number int) {
+func (s *Storm) ProcessorStarted(now time.Duration, number int) {
 	now = s.advance(now)
 	d := s.dest(number)
 	d.ramp()
--- a/internal/storm/storm_test.go
+++ b/internal/storm/storm_test.go
@@ -71,7 +71,7 @@
 			for range got + s.dests[1].open {
 				if s.dests[1].open > 0 {
 					s.Sent(now, 1, false)
-					s.Stood(now, 1, 0, took, true)
+					s.Answered(now, 1, 0, took, true)
 				}
 			}
 		}
@@ -85,7 +85,7 @@
 	s.Sent(now, 1, false)
 	now += 5 * time.Second
 	ramps := s.Counts().Ramps
-	s.Stood(now, 1, 0, 20*time.Millisecond, true)
+	s.Answered(now, 1, 0, 20*time.Millisecond, true)
 	require.Equal(t, ramps+1, s.Counts().Ramps)
 	require.InDelta(t, 8, s.dests[1].size, 1.5)
 	play(1, 20*time.Millisecond)
@@ -101,13 +101,13 @@
 	for range 400 {
 		now += 50 * time.Millisecond
 		s.Offered(now, Offer{Dest: 1, Number: uint64(now)})
-		s.Stood(now, 1, 0, 20*time.Millisecond, true)
+		s.Answered(now, 1, 0, 20*time.Millisecond, true)
 		s.Tick(now)
 	}
 	baseline := s.dests[1].meter.baseline.rate()
 	require.InDelta(t, 20, baseline, 1)
-	s.Started(now, 1)
-	s.Started(now+6*time.Second, 1)
+	s.ProcessorStarted(now, 1)
+	s.ProcessorStarted(now+6*time.Second, 1)
 	require.Equal(t, 8.0, s.dests[1].size)
 	s.Tick(now + 6*time.Second)
 	require.InDelta(t, baseline, s.dests[1].meter.baseline.rate(), 0.1)
@@ -126,7 +126,7 @@
 	}
 	require.LessOrEqual(t, further, int(initialBudget+budgetPerSecond*10)+1)
 	for range 100 {
-		s.Stood(now, 1, 0, time.Millisecond, true)
+		s.Answered(now, 1, 0, time.Millisecond, true)
 	}
 	require.True(t, s.Sent(now, 1, true))
 }
@@ -236,7 +236,7 @@
 	causes := map[string]bool{}
 	play := func(span, every time.Duration) {
 		for end := now + span; now < end; now += every {
-			s.Linked(now, uint64(now)) // each from a different address
+			s.CallerConnected(now, uint64(now)) // each from a different address
 			for _, c := range s.Tick(now) {
 				causes[c.Scope.Kind+": "+c.Cause] = true
 			}
@@ -275,7 +275,7 @@
 	arrive := func(group uint64) {
 		next++
 		groups[next] = group
-		if ok, waits := p.Come(now, group, next); ok {
+		if ok, waits := p.Arrive(now, group, next); ok {
 			served[group]++
 		} else if !waits {
 			refused++
@@ -348,12 +348,12 @@
 		case 3:
 			if open[dest] > 0 {
 				open[dest]--
-				s.Stood(now, dest, 1, time.Duration(rapid.IntRange(0, 4000).Draw(t, "took"))*time.Millisecond, true)
+				s.Answered(now, dest, 1, time.Duration(rapid.IntRange(0, 4000).Draw(t, "took"))*time.Millisecond, true)
 			}
 		case 4:
 			if open[dest] > 0 {
 				open[dest]--
-				s.Over(now, dest)
+				s.Unanswered(now, dest)
 			}
 		case 5:
 			if !s.Sent(now, dest, false) {
@@ -362,7 +362,7 @@
 			s.Failed(now, dest)
 		case 6:
 			s.Tick(now)
-			s.Started(now, dest)
+			s.ProcessorStarted(now, dest)
 		}
 		for n, d := range s.dests {
 			if d.open != open[n] || d.size < minWindow || d.size > maxWindow || d.tokens < -1e-9 || d.tokens > maxBudget {
@@ -408,7 +408,7 @@
 		x := uint64(i) * 0x9e3779b97f4a7c15
 		if s.Offered(now, Offer{Dest: i % 8, Group: uint64(i % 100), Caller: x, Number: x, Resent: i%4 == 0}).Admit() {
 			s.Sent(now, i%8, false)
-			s.Stood(now, i%8, x, 20*time.Millisecond, true)
+			s.Answered(now, i%8, x, 20*time.Millisecond, true)
 		}
 	}
 }
--- a/internal/stormconf/stormconf.go
+++ b/internal/stormconf/stormconf.go
@@ -17,7 +17,7 @@
 	Enabled bool    `toml:"enabled"`
 	Target  float64 `toml:"target"` // maximum queueing delay, as a fraction of the shortest aim; 0 for the default
 	Parts   Parts   `toml:"parts"`
-	Told    Told    `toml:"told"`
+	Notify  Notify  `toml:"told"`
 	Pace    Pace    `toml:"pace"`
 }
 
@@ -30,8 +30,8 @@
 	Cold    *bool `toml:"cold"`
 }
 
-// Told selects how callers and peers are notified of congestion, in addition to X-Cooldown.
-type Told struct {
+// Notify selects how callers and peers are notified of congestion, in addition to X-Cooldown.
+type Notify struct {
 	RetryAfter bool `toml:"retry_after"` // SIP Retry-After (RFC 3261, 20.33)
 	Level      bool `toml:"level"`       // ISUP automatic congestion level (Q.763, 3.4)
 	Network    bool `toml:"network"`     // M3UA SCON, DUNA and DAVA (RFC 4666, 3.4)
@@ -85,8 +85,8 @@
 // Enabled reports whether a part is on; a part that the file does not name is.
 func Enabled(part *bool) bool { return part == nil || *part }
 
-// Storm returns the file's settings as a storm.Config. The core adds the platform's settings to it.
-func (f File) Storm(seed uint64) storm.Config {
+// Config returns the file's settings as a storm.Config. The core adds the platform's settings to it.
+func (f File) Config(seed uint64) storm.Config {
 	return storm.Config{Seed: seed, Target: f.Target, Window: Enabled(f.Parts.Window), Budget: Enabled(f.Parts.Budget),
 		Advice: Enabled(f.Parts.Advice), Callers: Enabled(f.Parts.Callers), Cold: Enabled(f.Parts.Cold)}
 }
--- a/internal/stormconf/stormconf_test.go
+++ b/internal/stormconf/stormconf_test.go
@@ -31,13 +31,13 @@
 func TestLoad(t *testing.T) {
 	f, err := Load("../../deploy/storm.toml")
 	require.NoError(t, err)
-	require.True(t, f.Storm(1).Window)
+	require.True(t, f.Config(1).Window)
 	f, err = Load(filepath.Join(t.TempDir(), "none"))
 	require.NoError(t, err)
 	require.False(t, f.Enabled)
 	f, err = Parse([]byte("enabled = true\n[parts]\nadvice = false"))
 	require.NoError(t, err)
-	c := f.Storm(1)
+	c := f.Config(1)
 	require.Equal(t, []bool{true, true, false, true, true}, []bool{c.Window, c.Budget, c.Advice, c.Callers, c.Cold})
 }
 
--- a/internal/stormlab/play.go
+++ b/internal/stormlab/play.go
@@ -59,12 +59,12 @@
 	record := standin.NewRecord()
 	s.Load(mesh, record)
 	for _, step := range s.Script {
-		mesh.Until(step.At)
+		mesh.RunUntil(step.At)
 		if err := step.Do(mesh); err != nil {
 			return result, err
 		}
 	}
-	mesh.Until(s.End)
+	mesh.RunUntil(s.End)
 	measure(&result, s, mesh, record)
 	return result, nil
 }
@@ -96,12 +96,12 @@
 	result.AttemptsPerCall = float64(m.Ledger.Sent) / math.Max(1, float64(wholeRun.Offered))
 	for i := range m.Exchanges {
 		p := m.Node(i).Proc
-		result.MaxWait, result.Rejected = max(result.MaxWait, p.Worst), result.Rejected+p.Turned
-		if p.Fell {
+		result.MaxWait, result.Rejected = max(result.MaxWait, p.LongestWait), result.Rejected+p.Rejected
+		if p.Crashed {
 			result.Crashed++
 		}
 	}
-	result.RepeatedWaits, result.Violations = r.Alike(100), m.Ledger.Broken
+	result.RepeatedWaits, result.Violations = r.RepeatedWaits(100), m.Ledger.Violations
 	for t := time.Duration(0); t < s.End-9*time.Second; t += time.Second {
 		result.ShareBySecond = append(result.ShareBySecond, m.Span(r, t, t+time.Second, nil).Share())
 	}
--- a/internal/stormlab/scenario.go
+++ b/internal/stormlab/scenario.go
@@ -120,29 +120,29 @@
 			return c
 		},
 		Load: func(m *standin.Mesh, r *standin.Record) {
-			m.Call(0, rate, []float64{0, 1}, standin.Impatient(ignore), r)
+			m.StartCallers(0, rate, []float64{0, 1}, standin.Impatient(ignore), r)
 		},
 		Script: []Step{{10 * second, killControllers(0)}, {14 * second, startControllers(0)}}}
 }
 
 // meshScenario returns a scenario with seven exchanges, each with a controller. The load is loadFactor times the planned
 // rate, and the run ends 50 s after recoveryStart.
-func meshScenario(name string, loadFactor float64, habit func(exchange int) standin.Habit, description string,
+func meshScenario(name string, loadFactor float64, callers func(exchange int) standin.CallerConfig, description string,
 	recoveryStart time.Duration, script ...Step) Scenario {
 	return Scenario{Name: name, Description: description, RecoveryStart: recoveryStart, End: recoveryStart + 50*second,
 		Script: script,
-		Mesh:   func(seed uint64) standin.Config { return standin.MeshDay(numExchanges, plannedRate, seed) },
+		Mesh:   func(seed uint64) standin.Config { return standin.MeshConfig(numExchanges, plannedRate, seed) },
 		Load: func(m *standin.Mesh, r *standin.Record) {
 			for i := range numExchanges {
-				m.Call(i, loadFactor*plannedRate, standin.Shares(numExchanges, i), habit(i), r)
+				m.StartCallers(i, loadFactor*plannedRate, standin.Shares(numExchanges, i), callers(i), r)
 			}
 		}}
 }
 
 // peerScenario returns a mesh scenario in which an M3UA peer of exchange 0 sends eight times its calls for 20 s.
 func peerScenario(name, description string) Scenario {
-	s := meshScenario(name, 0.8, meshHabit(0.3), description, 30*second, Step{30 * second, func(m *standin.Mesh) error {
-		peerCallers := m.Loads()[numExchanges] // follows the callers of the exchanges
+	s := meshScenario(name, 0.8, meshCallers(0.3), description, 30*second, Step{30 * second, func(m *standin.Mesh) error {
+		peerCallers := m.Callers()[numExchanges] // follows the callers of the exchanges
 		peerCallers.SetRate(8)
 		m.After(20*second, func() { peerCallers.SetRate(1) })
 		return nil
@@ -150,26 +150,26 @@
 	loadMesh := s.Load
 	s.Load = func(m *standin.Mesh, r *standin.Record) {
 		loadMesh(m, r)
-		habit := meshHabit(0.3)(0)
-		habit.Group = "point code 200"
-		m.Call(0, 1, standin.Shares(numExchanges, 0), habit, r)
+		config := meshCallers(0.3)(0)
+		config.Group = "point code 200"
+		m.StartCallers(0, 1, standin.Shares(numExchanges, 0), config, r)
 	}
 	return s
 }
 
 // busyScenario returns a mesh scenario with processors and circuits for six times the planned rate, at 97% load.
 func busyScenario(name, description string, recoveryStart time.Duration, script ...Step) Scenario {
-	s := meshScenario(name, 6*0.97, meshHabit(0.3), description, recoveryStart, script...)
-	s.Mesh = func(seed uint64) standin.Config { return standin.MeshDay(numExchanges, 6*plannedRate, seed) }
+	s := meshScenario(name, 6*0.97, meshCallers(0.3), description, recoveryStart, script...)
+	s.Mesh = func(seed uint64) standin.Config { return standin.MeshConfig(numExchanges, 6*plannedRate, seed) }
 	return s
 }
 
-// meshHabit returns the behaviour of an exchange's callers: impatient callers, a share of whom ignores retry advice.
-func meshHabit(ignore float64) func(int) standin.Habit {
-	return func(int) standin.Habit {
-		habit := standin.Impatient(ignore)
-		habit.Upgrade = 0.06
-		return habit
+// meshCallers returns the behaviour of an exchange's callers: impatient callers, a share of whom ignores retry advice.
+func meshCallers(ignore float64) func(int) standin.CallerConfig {
+	return func(int) standin.CallerConfig {
+		config := standin.Impatient(ignore)
+		config.Upgrade = 0.06
+		return config
 	}
 }
 
@@ -185,15 +185,15 @@
 		Step{31 * second, killControllers(affectedExchanges...)},
 		Step{36 * second, sequence(replaceProcessors(affectedExchanges...), startControllers(affectedExchanges...))})
 	allExchanges := []int{0, 1, 2, 3, 4, 5, 6}
-	oneNumberHabit := func(int) standin.Habit {
-		habit := meshHabit(0.3)(0)
-		habit.OneNumber = 0.5
-		return habit
+	oneNumberCallers := func(int) standin.CallerConfig {
+		config := meshCallers(0.3)(0)
+		config.OneNumber = 0.5
+		return config
 	}
-	elsewhereHabit := func(int) standin.Habit {
-		habit := meshHabit(0.3)(0)
-		habit.Elsewhere, habit.Jitter, habit.PerHost = 0.5, 0.2, 3
-		return habit
+	otherControllerCallers := func(int) standin.CallerConfig {
+		config := meshCallers(0.3)(0)
+		config.OtherController, config.Jitter, config.SharedHosts = 0.5, 0.2, 3
+		return config
 	}
 	return []Scenario{
 		oneCoreScenario("one-98", 44, 0.3, "one core at 98% of its capacity, the controller killed for 4 s", nil),
@@ -204,31 +204,31 @@
 			c.Settings.Module.RetryAfter, c.Settings.Module.MaxRetryAfter = false, 0
 		}),
 		oneCoreScenario("one-spoilt", 40, 0.3, "at 89%, half of the answers are lost to connection resets", func(c *standin.Config) {
-			c.Spoilt = 0.5
+			c.LostAnswers = 0.5
 		}),
 		oneCoreScenario("one-picky", 50, 0.3, "at 111%, a core that rejects set-ups that would wait more than 0.2 s", func(c *standin.Config) {
-			c.Lines[1].TurnAway, c.Lines[1].Refuse = 200*time.Millisecond, 8*time.Millisecond
+			c.Processors[1].MaxWait, c.Processors[1].Refuse = 200*time.Millisecond, 8*time.Millisecond
 		}),
-		meshScenario("mesh", 0.97, meshHabit(0.3), "seven controllers at 97%, three killed for 5 s", 25*second, outage...),
-		meshScenario("mesh-cold", 0.97, meshHabit(0.3), "the same, with cold processors after the outage", 25*second, coldOutage...),
-		meshScenario("mesh-again", 0.97, meshHabit(0.3), "cold, and a second outage 6 s into recovery", 36*second, secondOutage...),
-		meshScenario("mesh-obedient", 0.97, meshHabit(0), "cold, and all callers follow retry advice", 25*second, coldOutage...),
-		meshScenario("mesh-all-cold", 0.97, meshHabit(0.3), "all exchanges cold at once", 25*second,
+		meshScenario("mesh", 0.97, meshCallers(0.3), "seven controllers at 97%, three killed for 5 s", 25*second, outage...),
+		meshScenario("mesh-cold", 0.97, meshCallers(0.3), "the same, with cold processors after the outage", 25*second, coldOutage...),
+		meshScenario("mesh-again", 0.97, meshCallers(0.3), "cold, and a second outage 6 s into recovery", 36*second, secondOutage...),
+		meshScenario("mesh-obedient", 0.97, meshCallers(0), "cold, and all callers follow retry advice", 25*second, coldOutage...),
+		meshScenario("mesh-all-cold", 0.97, meshCallers(0.3), "all exchanges cold at once", 25*second,
 			Step{20 * second, killControllers(allExchanges...)},
 			Step{25 * second, sequence(replaceProcessors(allExchanges...), startControllers(allExchanges...))}),
-		meshScenario("mesh-half-cold", 1.1, meshHabit(0.3), "at 110%, half of the processors cold", 25*second,
+		meshScenario("mesh-half-cold", 1.1, meshCallers(0.3), "at 110%, half of the processors cold", 25*second,
 			Step{25 * second, replaceProcessors(affectedExchanges...)}),
-		meshScenario("mesh-number", 1.1, oneNumberHabit, "at 110%, half of all calls to one number; three killed for 5 s", 25*second,
+		meshScenario("mesh-number", 1.1, oneNumberCallers, "at 110%, half of all calls to one number; three killed for 5 s", 25*second,
 			outage...),
-		meshScenario("mesh-elsewhere", 0.97, elsewhereHabit, "cold, with shared addresses and redials through other controllers", 25*second,
+		meshScenario("mesh-elsewhere", 0.97, otherControllerCallers, "cold, with shared addresses and redials through other controllers", 25*second,
 			coldOutage...),
 		peerScenario("mesh-peer", "an M3UA peer sends eight times its usual calls for 20 s, SIP load is unchanged"),
-		meshScenario("mesh-slow", 0.97, meshHabit(0.3), "three processors three times slower for 20 s", 20*second,
+		meshScenario("mesh-slow", 0.97, meshCallers(0.3), "three processors three times slower for 20 s", 20*second,
 			Step{20 * second, slowProcessors(0.33, 20*second, affectedExchanges...)}),
 		busyScenario("busy-cold", "seven exchanges with six times the calls, all cold at once", 25*second,
 			Step{20 * second, killControllers(allExchanges...)},
 			Step{25 * second, sequence(replaceProcessors(allExchanges...), startControllers(allExchanges...))}),
-		meshScenario("mesh-stall", 0.97, meshHabit(0.3), "one processor accepts set-ups but processes none for 10 s", 30*second,
+		meshScenario("mesh-stall", 0.97, meshCallers(0.3), "one processor accepts set-ups but processes none for 10 s", 30*second,
 			Step{20 * second, stallProcessors(10*second, 2)}),
 	}
 }
@@ -273,7 +273,7 @@
 		s, err := storm.New(core.StormConfig(config, c.Settings))
 		if err == nil { // cannot fail: the settings come from the scenario
 			c.Storm = s
-			c.Changed = func(change storm.Change) { result.Changes = append(result.Changes, change) }
+			c.OnStormChange = func(change storm.Change) { result.Changes = append(result.Changes, change) }
 		}
 	}, nil
 }
--- a/internal/stormlab/stormlab_test.go
+++ b/internal/stormlab/stormlab_test.go
@@ -101,23 +101,23 @@
 	r := standin.NewRecord()
 	s.Load(m, r)
 	for _, step := range s.Script {
-		m.Until(step.At)
+		m.RunUntil(step.At)
 		require.NoError(t, step.Do(m))
 	}
-	m.Until(27 * time.Second)
+	m.RunUntil(27 * time.Second)
 	skew = -40 * time.Millisecond
 	newSettings := m.Settings
 	newSettings.Module.MaxRetryAfter = 0
 	newSettings.Module.Here = 0
 	applyErr := m.Reconfigure(0, newSettings)
-	m.Until(29 * time.Second)
+	m.RunUntil(29 * time.Second)
 	require.NoError(t, *applyErr)
-	waitsSent := len(r.Told[[2]int{0, 1}])
+	waitsSent := len(r.AdvisedWaits[[2]int{0, 1}])
 	require.Positive(t, waitsSent, "waits were sent before the settings changed")
 	drained := m.Drain(4)
-	m.Until(330 * time.Second) // releases lost with a replaced processor are awaited for at most five minutes
-	require.Empty(t, m.Ledger.Broken)
-	require.Equal(t, waitsSent, len(r.Told[[2]int{0, 1}]), "no wait is sent under the new settings")
+	m.RunUntil(330 * time.Second) // releases lost with a replaced processor are awaited for at most five minutes
+	require.Empty(t, m.Ledger.Violations)
+	require.Equal(t, waitsSent, len(r.AdvisedWaits[[2]int{0, 1}]), "no wait is sent under the new settings")
 	select {
 	case <-drained:
 	default:
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -21,8 +21,8 @@
 	writeQueue      = 512              // maximum number of messages queued for a connection
 	writeTimeout    = 2 * time.Second  // a write that takes longer ends the connection
 	writeBuffer     = 16 << 10         // queued messages are joined into one write until it reaches this size
-	lingerTimeout   = time.Second      // maximum time for which Part discards input
-	maxLingerBytes  = 1 << 20          // maximum number of bytes that Part discards
+	lingerTimeout   = time.Second      // maximum time for which LingerClose discards input
+	maxLingerBytes  = 1 << 20          // maximum number of bytes that LingerClose discards
 	keepAlivePeriod = 15 * time.Second // TCP keep-alive, to detect a peer that vanished
 )
 
@@ -101,7 +101,7 @@
 }
 
 // NewWriter returns a Writer on conn and starts its goroutine. The goroutine ends with the connection, so the caller
-// must end it with Close, Finish, HalfClose or Part.
+// must end it with Close, Finish, HalfClose or LingerClose.
 func NewWriter(conn net.Conn) *Writer {
 	if t, ok := conn.(*net.TCPConn); ok {
 		_ = t.SetKeepAlivePeriod(keepAlivePeriod) // best effort: the write deadlines apply without it
@@ -155,11 +155,11 @@
 	w.Finish()
 }
 
-// Part closes the connection after a linger: it closes the writing half after the queued messages have been written,
-// then reads and discards input for up to lingerTimeout and maxLingerBytes before it closes the connection. Closing at
-// once while input is unread would make the local system send a reset, on which the peer's system may drop the last
-// response unread. The caller must have stopped reading.
-func (w *Writer) Part() {
+// LingerClose closes the connection after a linger: it closes the writing half after the queued messages have been
+// written, then reads and discards input for up to lingerTimeout and maxLingerBytes before it closes the connection.
+// Closing at once while input is unread would make the local system send a reset, on which the peer's system may drop
+// the last response unread. The caller must have stopped reading.
+func (w *Writer) LingerClose() {
 	w.halfClose.Store(true)
 	w.Finish()
 	if w.conn.SetReadDeadline(time.Now().Add(lingerTimeout)) == nil {
@@ -168,7 +168,7 @@
 	w.Close()
 }
 
-// closeWriting closes the writing half after a HalfClose or Part, and the whole connection otherwise.
+// closeWriting closes the writing half after a HalfClose or LingerClose, and the whole connection otherwise.
 func (w *Writer) closeWriting() {
 	if t, ok := w.conn.(interface{ CloseWrite() error }); ok && w.halfClose.Load() {
 		w.closeOnce.Do(func() { close(w.closed) })
--- a/internal/transact/crash_test.go
+++ b/internal/transact/crash_test.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, err
 	}
-	o, err := New(Config{Store: datastore.Config{Model: m, Keep: 8, Sessions: 8}, Journal: j, Kept: kept, Now: now, Log: discardLog,
+	o, err := New(Config{Store: datastore.Config{Model: m, Keep: 8, MaxSessions: 8}, Journal: j, Records: kept, Now: now, Log: discardLog,
 		Parts: parts})
 	if err != nil {
 		return nil, errors.Join(err, j.Close())
@@ -65,7 +65,7 @@
 func commitChange(o *Owner, c datastore.Commit, f func(*schema.Node) error) (datastore.Record, error) {
 	var who datastore.Session
 	err := o.Do(func(s *datastore.Store) (err error) {
-		if who, err = s.Open("op", "test"); err != nil {
+		if who, err = s.OpenSession("op", "test"); err != nil {
 			return err
 		}
 		tree, err := s.Get(datastore.Running)
@@ -80,14 +80,14 @@
 	if err != nil {
 		return datastore.Record{}, err
 	}
-	defer o.Close(who.ID)
-	return o.Make(func(s *datastore.Store, at time.Time) (*datastore.Txn, error) { return s.Commit(who.ID, c, at) })
+	defer o.CloseSession(who.ID)
+	return o.Execute(func(s *datastore.Store, at time.Time) (*datastore.Txn, error) { return s.Commit(who.ID, c, at) })
 }
 
 // state returns the number of the last transaction, and running and startup as text.
 func state(o *Owner) (last uint64, out string) {
-	o.Look(func(s *datastore.Store) {
-		last = s.Last()
+	o.View(func(s *datastore.Store) {
+		last = s.LastRevision()
 		for _, t := range []datastore.Target{datastore.Running, datastore.Startup} {
 			tree, err := s.Get(t)
 			out += fmt.Sprint(t, err, tree.Items(), "\n")
@@ -162,12 +162,12 @@
 		step(err, false)
 	}
 	who := datastore.Session{}
-	require.NoError(t, o.Do(func(s *datastore.Store) error { who, err = s.Open("op", "test"); return err }))
-	_, err = o.Make(func(s *datastore.Store, at time.Time) (*datastore.Txn, error) {
-		return s.Rollback(who.ID, s.Last()-3, at, "back")
+	require.NoError(t, o.Do(func(s *datastore.Store) error { who, err = s.OpenSession("op", "test"); return err }))
+	_, err = o.Execute(func(s *datastore.Store, at time.Time) (*datastore.Txn, error) {
+		return s.Rollback(who.ID, s.LastRevision()-3, at, "back")
 	})
 	step(err, false)
-	_, err = o.Make(func(s *datastore.Store, at time.Time) (*datastore.Txn, error) {
+	_, err = o.Execute(func(s *datastore.Store, at time.Time) (*datastore.Txn, error) {
 		tree, err := s.Get(datastore.Running)
 		require.NoError(t, err)
 		return s.Copy(who.ID, datastore.Startup, tree, at)
@@ -237,7 +237,7 @@
 	// The same journal without the revert, as if the program had ended before it.
 	j, ok := o.Journal.(*journal.Journal)
 	require.True(t, ok)
-	require.NoError(t, j.Append(datastore.Record{N: 4, Kind: datastore.KindCommit,
+	require.NoError(t, j.Append(datastore.Record{Revision: 4, Kind: datastore.KindCommit,
 		Changes: []schema.Change{{Path: "/limits/max-wait", Old: &[]string{"12"}[0], New: &[]string{"13"}[0]}}}))
 	require.NoError(t, j.Close())
 	o, err = openOwner(disk, "j", m, time.Now, accept, refuse)
@@ -299,7 +299,7 @@
 					"']/deadline", Value: n}, schema.Item{Path: "/classes/class[name='a" + n + "']/worth", Value: "1"})
 				if f := (*datastore.Error)(nil); errors.As(err, &f) && f.Faults[0].AppTag == "too-many-elements" {
 					_, err = commitChange(o, datastore.Commit{}, func(tree *schema.Node) error { // also a single transaction
-						tree.Get("classes").Drop()
+						tree.Get("classes").RemoveSelf()
 						return tree.Put(schema.Item{Path: "/limits/max-wait", Value: n})
 					})
 				}
@@ -349,16 +349,16 @@
 		_ = c.Wait() // the error only says that it was killed
 		o, err := openOwner(vfs.Default, dir, m, time.Now)
 		require.NoError(t, err)
-		o.Look(func(s *datastore.Store) {
-			require.GreaterOrEqual(t, s.Last(), acked, "no acknowledged transaction is lost")
-			require.LessOrEqual(t, s.Last(), acked+1, "no transaction is stored twice")
-			if s.Last() > acked {
+		o.View(func(s *datastore.Store) {
+			require.GreaterOrEqual(t, s.LastRevision(), acked, "no acknowledged transaction is lost")
+			require.LessOrEqual(t, s.LastRevision(), acked+1, "no transaction is stored twice")
+			if s.LastRevision() > acked {
 				unacked++
 			}
 			running, err := s.Get(datastore.Running)
 			require.NoError(t, err)
 			wait, _ := running.Get("limits").Leaf("max-wait")
-			require.Equal(t, strconv.FormatUint(s.Last(), 10), wait)
+			require.Equal(t, strconv.FormatUint(s.LastRevision(), 10), wait)
 			if classes := running.Get("classes"); classes != nil {
 				newest := classes.Get("class", "a"+wait)
 				require.NotNil(t, newest)
--- a/internal/transact/transact.go
+++ b/internal/transact/transact.go
@@ -35,19 +35,19 @@
 // Event describes a completed transaction, for notifications and subscriptions.
 type Event struct {
 	datastore.Record
-	Running *schema.Node // after the transaction; read-only
-	Failed  string       // why a part could not apply it, so that it is reverted; empty if it is in force
+	Running    *schema.Node // after the transaction; read-only
+	FailReason string       // why a part could not apply it, so that it is reverted; empty if it is in force
 }
 
 // Config holds the parameters of an Owner.
 type Config struct {
-	Store   datastore.Config
-	Journal Journal
-	Kept    []datastore.Record // records read from the journal when it was opened
-	Parts   []Part
-	Now     func() time.Time
-	Log     *slog.Logger
-	Told    func(Event) // called with each transaction, in order; must not block or call the Owner; may be nil
+	Store         datastore.Config
+	Journal       Journal
+	Records       []datastore.Record // records read from the journal when it was opened
+	Parts         []Part
+	Now           func() time.Time
+	Log           *slog.Logger
+	OnTransaction func(Event) // called with each transaction, in order; must not block or call the Owner; may be nil
 }
 
 // Owner serializes the requests of all sessions to its Store and executes their transactions. It is safe for concurrent
@@ -58,15 +58,15 @@
 	store *datastore.Store
 }
 
-// New returns an Owner with the state restored from Config.Kept. It reverts a commit that was still pending, and applies
-// the running configuration to all parts.
+// New returns an Owner with the state restored from Config.Records. It reverts a commit that was still pending, and
+// applies the running configuration to all parts.
 func New(c Config) (*Owner, error) {
 	store, err := datastore.New(c.Store)
 	if err != nil {
 		return nil, err
 	}
 	o := &Owner{Config: c, store: store}
-	revert, err := store.Restore(c.Kept, c.Now())
+	revert, err := store.Restore(c.Records, c.Now())
 	if err != nil {
 		return nil, err
 	}
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, err
 	}
-	now := &datastore.Txn{Record: datastore.Record{N: store.Last(), Kind: datastore.KindBase}, New: running}
+	now := &datastore.Txn{Record: datastore.Record{Revision: store.LastRevision(), Kind: datastore.KindBase}, New: running}
 	if failed := o.apply(now); failed != nil {
 		// The process ended after this transaction was made durable and before its revert, which a part's error requires.
 		revert := store.RevertFailed(now, c.Now(), failed.Error())
@@ -94,8 +94,8 @@
 	return o, nil
 }
 
-// Look calls f with the store, for reading. f must not retain the store.
-func (o *Owner) Look(f func(*datastore.Store)) {
+// View calls f with the store, for reading. f must not retain the store.
+func (o *Owner) View(f func(*datastore.Store)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	f(o.store)
@@ -108,9 +108,9 @@
 	return f(o.store)
 }
 
-// Make executes the transaction that f begins, and returns its record. If the error is nil, the transaction is durable
-// and applied to all parts. If f returns a nil transaction, Make returns a zero record.
-func (o *Owner) Make(f func(*datastore.Store, time.Time) (*datastore.Txn, error)) (datastore.Record, error) {
+// Execute executes the transaction that f begins, and returns its record. If the error is nil, the transaction is
+// durable and applied to all parts. If f returns a nil transaction, Execute returns a zero record.
+func (o *Owner) Execute(f func(*datastore.Store, time.Time) (*datastore.Txn, error)) (datastore.Record, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	t, err := f(o.store, o.Now())
@@ -120,15 +120,15 @@
 	return t.Record, o.execute(t)
 }
 
-// Close ends a session, and reverts its pending commit if that does not outlive the session.
-func (o *Owner) Close(id datastore.SessionID) {
+// CloseSession ends a session, and reverts its pending commit if that does not outlive the session.
+func (o *Owner) CloseSession(id datastore.SessionID) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.executeRevert(o.store.Close(id, o.Now()))
+	o.executeRevert(o.store.CloseSession(id, o.Now()))
 }
 
-// End waits for the request in progress and closes the journal. Later transactions fail if there is a journal.
-func (o *Owner) End() error {
+// Close waits for the request in progress and closes the journal. Later transactions fail if there is a journal.
+func (o *Owner) Close() error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.Journal == nil {
@@ -150,7 +150,7 @@
 		return
 	}
 	if err := o.execute(t); err != nil {
-		o.Log.Error("configuration change not reverted", "transaction", t.N, "error", err)
+		o.Log.Error("configuration change not reverted", "transaction", t.Revision, "error", err)
 	}
 }
 
@@ -178,7 +178,7 @@
 		}
 	}
 	if err != nil {
-		o.Log.Error("configuration change not reverted", "transaction", t.N, "error", err)
+		o.Log.Error("configuration change not reverted", "transaction", t.Revision, "error", err)
 	}
 	return errors.Join(failed, err)
 }
@@ -191,7 +191,7 @@
 	if o.Journal != nil {
 		if err := o.Journal.Append(t.Record); err != nil {
 			o.store.Abort(t)
-			return fmt.Errorf("transact: transaction %d: %w", t.N, err)
+			return fmt.Errorf("transact: transaction %d: %w", t.Revision, err)
 		}
 	}
 	return o.store.Complete(t)
@@ -204,19 +204,19 @@
 		return nil
 	}
 	for _, p := range o.Parts {
-		if err := p.Apply(t.N, t.New, t.Changes); err != nil {
-			return fmt.Errorf("transact: %s: transaction %d: %w", p.Name(), t.N, err)
+		if err := p.Apply(t.Revision, t.New, t.Changes); err != nil {
+			return fmt.Errorf("transact: %s: transaction %d: %w", p.Name(), t.Revision, err)
 		}
 	}
 	return nil
 }
 
-// notify logs a transaction, for the audit trail, and passes it to Config.Told.
+// notify logs a transaction, for the audit trail, and passes it to Config.OnTransaction.
 func (o *Owner) notify(t *datastore.Txn, failed string) {
-	o.Log.Info("configuration", "transaction", t.N, "kind", string(t.Kind), "session", uint32(t.Session), "user", t.User,
+	o.Log.Info("configuration", "transaction", t.Revision, "kind", string(t.Kind), "session", uint32(t.Session), "user", t.User,
 		"via", t.Via, "changes", len(t.Changes), "comment", t.Comment, "failed", failed)
-	if o.Told != nil {
-		o.Told(Event{Record: t.Record, Running: t.New, Failed: failed})
+	if o.OnTransaction != nil {
+		o.OnTransaction(Event{Record: t.Record, Running: t.New, FailReason: failed})
 	}
 }
 
