--- a/api.go
+++ b/api.go
@@ -2,9 +2,9 @@
 // which route each call takes, when to retry and when to reject or abandon a call. A call controller creates
 // one Controller for its exchange, passes it every event, and carries out the actions requested on its Host.
 //
-// The package does no I/O, starts no goroutines and reads no clock. Each method takes the current time, which
-// the application measures on a clock of its choice. A Controller is not safe for concurrent use. Controllers
-// share no state.
+// The package does no I/O, starts no goroutines and reads no clock. Each method that processes an event takes the
+// current time, which the application measures on a clock of its choice. A Controller is not safe for concurrent
+// use. Controllers share no state.
 package brookmux
 
 import (
@@ -41,7 +41,7 @@
 	ScopeCell              // switches of the same exchange
 )
 
-// ReportMode selects the messages in which this controller receives load reports of other processors.
+// ReportMode states in which messages this controller receives the load reports of other processors.
 type ReportMode int
 
 // The sources of load reports.
--- a/attempts.go
+++ b/attempts.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// attempt is a set-up that has been sent and has not ended. It includes the call that stands by it.
+// attempt is a set-up that has been sent. If it is answered, the attempt lasts as long as its call stands.
 type attempt struct {
 	sentAt   time.Duration
 	awaiting bool // direct, and the call does not stand yet
@@ -146,7 +146,8 @@
 	a.awaiting = false
 }
 
-// CallEnded processes the end of a call for another reason, such as a caller who has hung up. The call gets no answer.
+// CallEnded processes the end of a call by other means than an Outcome: its caller has left, or the host has ended or
+// answered it. The Controller gives it no further answer.
 func (c *Controller) CallEnded(now time.Duration, id CallID) {
 	if p := c.calls[id]; p != nil {
 		c.recordUnserved(p)
--- a/budgets.go
+++ b/budgets.go
@@ -52,9 +52,9 @@
 	return (workPerCall[1]*t.past[0] + workPerCall[2]*t.past[1]) / 1000 / ratePeriod.Seconds()
 }
 
-// closePeriod ends a period: it rolls the counters, probes the exchanges that were called, and updates the redial
-// table and the work scale. The rate of incoming calls is estimated from the circuits of the trunk group that are
-// in use and not by calls of this controller.
+// closePeriod ends a period: it rolls the counters, with Settings.Probes probes the exchanges that were called, and
+// updates the redial table and the work scale. The rate of incoming calls is estimated from the circuits of the trunk
+// group that are in use and not by calls of this controller.
 func (c *Controller) closePeriod(now time.Duration) {
 	for _, e := range c.exchanges {
 		e.incoming.current = max(0, e.size-max(0, e.free)-e.circuitsInUse) / c.meanWidth /
@@ -84,7 +84,7 @@
 	excessWait, gateBinds := c.minPeriodWait, false
 	for _, e := range c.exchanges {
 		excess, ok := c.excessWait(now, e)
-		if now-e.lastStoodAt >= ratePeriod { // an older wait shows no queue: no set-up may be outstanding
+		if now-e.lastStoodAt >= ratePeriod { // an older wait doesn't prove a queue: perhaps no set-up is outstanding
 			excess, ok = c.oldestExcessWait(now, e)
 		}
 		if ok && math.IsInf(c.minPeriodWait, 1) {
--- a/controller.go
+++ b/controller.go
@@ -42,7 +42,7 @@
 	maxPairBackOff    = 8 * time.Second        // the back-off of a group doubles with each rejection
 	minSetUpTime      = 20 * time.Millisecond  // no attempt is made with less time left
 	setUpBoundFactor  = 3                      // most set-ups take at most this multiple of the mean delay
-	coldSafetyFactor  = 2                      // FallMultiple below this reduces the share sent to a cold one
+	coldSafetyFactor  = 2                      // a FallMultiple below this lowers a cold processor's gate
 	maxRedials        = 8192                   // maximum entries in the redial table
 	followRetryDelay  = 500 * time.Millisecond // minimum wait after a failed request to discovery
 )
@@ -82,7 +82,7 @@
 	mayHaveRun               bool          // an attempt may have run
 	firstRunAt               time.Duration // send time of the first attempt that may have run
 	firstRunOn               *Switch       // its switch
-	notBefore                time.Duration // end of the wait for a release
+	notBefore                time.Duration // end of the release wait
 	worth                    float64       // worth at its offer, 0 in transit
 	queued, gated            bool          // in the queue; gated: it waits for the gate, not for a circuit
 	transitFrom              *exchange     // in transit: the exchange whose circuits it occupies
@@ -179,7 +179,7 @@
 }
 
 // start sets the first timer and, with Settings.FollowMembers, requests the membership list. Only the first
-// call has an effect: it comes with the first event, when the time is known.
+// call has an effect: it comes with the first MembersChanged or Offered event, when the clock is known.
 func (c *Controller) start() {
 	if !c.started {
 		c.host.SetTimer(ratePeriod, periodToken)
@@ -211,7 +211,7 @@
 }
 
 // chooseSwitches selects the switch of each exchange: the ready one that started last. When the switch
-// changes or restarts, the report and back-off of its predecessor are cleared.
+// changes or restarts, the report, the back-off and the count of unanswered set-ups are cleared.
 func (c *Controller) chooseSwitches(now time.Duration) {
 	best := map[int]*Switch{}
 	for _, sw := range c.switches {
--- a/controller_test.go
+++ b/controller_test.go
@@ -348,8 +348,8 @@
 	}
 }
 
-// TestTandemsAreLearned: an advised tandem takes precedence, then the one over which a call stood last. A group
-// that rejected a call is backed off in both directions.
+// TestTandemsAreLearned: an advised tandem takes precedence, then the one over which a call stood last. A trunk
+// group is backed off in both directions after the tandem has rejected a call for it.
 func TestTandemsAreLearned(t *testing.T) {
 	c, d := startController(t, meshSettings())
 	c.Probed(second, circuitReport(1, 0, 0))
--- a/internal/core/accounting.go
+++ b/internal/core/accounting.go
@@ -14,12 +14,12 @@
 
 // Counts holds event totals since the start of the process.
 //
-// Of the requests, Taken were accepted, Repeated had a key in use, Invalid could not be served by any core, Full met
-// the limit on memory or on open calls, Withdrawn were cancelled by their callers and CallerLost ended with the
-// caller's connection. Stood, Refused and Failed count the final answers. Sent counts attempts, LateAnswers answers for
-// no open attempt, Unresolved calls that ended before their answer was received, Ignored messages that match no
-// attempt, Orphans the ends of calls of an earlier process, HungUp and Cut the standing calls ended by the caller or
-// abnormally. Guards counts rules enforced in place of the decision module.
+// Of the requests, Taken were accepted, Repeated had the key of a call that is in the table or has recently ended,
+// Invalid could not be served by any core, Full met the limit on memory or on open calls, Withdrawn were cancelled by
+// their callers and CallerLost ended with the caller's connection. Stood, Refused and Failed count the final answers.
+// Sent counts attempts, LateAnswers answers for no open attempt, Unresolved calls that ended before their answer was
+// received, Ignored messages that match no attempt, Orphans the ends of calls of an earlier process, HungUp and Cut the
+// standing calls ended by the caller or abnormally. Guards counts rules enforced in place of the decision module.
 type Counts struct {
 	Taken, Repeated, Invalid, Full, Withdrawn, CallerLost        int
 	Stood, Refused, Failed                                       int
@@ -94,7 +94,7 @@
 	e.schedule(endedRetention, e.rotateEnded)
 }
 
-// recordGuard logs and counts that the core enforced a rule that the decision module did not observe.
+// recordGuard logs and counts that the engine enforced a rule that the decision module did not observe.
 func (e *Engine) recordGuard(rule string, c *call) {
 	e.counts.Guards++
 	e.Config.Log.Warn("guard", "rule", rule, "call", c.Key, "sends", c.sends,
--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -6,8 +6,8 @@
 	"brookmux"
 )
 
-// validateRequest returns the reason why no core can serve a request, or an empty string. The reason is sent to the
-// caller.
+// validateRequest returns the reason why no core can serve a request, or an empty string. The SIP
+// front end sends the reason to the caller.
 func (e *Engine) validateRequest(r Request) string {
 	class, ok := e.classes[r.Class]
 	switch {
--- a/internal/core/cold.go
+++ b/internal/core/cold.go
@@ -80,7 +80,7 @@
 }
 
 // exceedsColdLimit reports whether one more set-up to a core would exceed this controller's part of the load allowed
-// for a cold core. If not, it counts the set-up.
+// for a cold core. If not, it counts the set-up. Without a FallMultiple there is no limit.
 func (e *Engine) exceedsColdLimit(to brookmux.SwitchID) bool {
 	s := e.switches[to]
 	counter := e.setUpCounters[s.Number]
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -47,7 +47,7 @@
 	Wait    time.Duration // retry advice: how long the caller should wait, 0 for none
 	Cause   Cause
 	Level   int    // automatic congestion level of the destination (Q.763, 3.4), 0 for none
-	Detail  string // explanation for logs and traces; sent to the caller where Invalid is set
+	Detail  string // explanation for logs and traces; the SIP front end sends it where Invalid is set
 }
 
 // Caller is the party that requested a call, as its front end sees it. The engine calls the methods from its own
@@ -96,7 +96,7 @@
 
 // Condition is the state of an exchange as published to peers.
 type Condition struct {
-	Available bool // it has a core that accepts set-ups
+	Available bool // it has a core that accepts set-ups, or is the local exchange
 	Level     int  // congestion level: 0 for none, 1 or 2
 }
 
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -23,7 +23,7 @@
 	releaseMargin      = 20 * time.Millisecond // added to the release wait, since peers may read a message late
 	endedRetention     = 30 * time.Second      // keys of ended calls are kept for one to two of these periods
 	maxEndedKeys       = 16384                 // per period
-	maxMovedIDs        = 256                   // former ids of cores
+	maxMovedIDs        = 256                   // former ids of cores that are kept, see Moved
 
 	// Callers send requests for up to 600 ms after SIGTERM, and the last ones may be read late: set-ups are accepted
 	// for drainAcceptance, and the drain lasts at least drainMin.
@@ -48,7 +48,7 @@
 	OnStormChange     func(storm.Change)   // called at each change of a storm state, may be nil
 	OnConditionChange func(int, Condition) // called when the condition of an exchange changes, may be nil; must not block
 
-	MaxBytes int64 // limit on the memory of requests that await a final answer, 0 for none
+	MaxBytes int64 // limit on the memory of requests that are queued or await a final answer, 0 for none
 
 	// Clock, if not nil, replaces the wall clock, and Step must be called instead of Run. All events are then handled
 	// in the calling goroutine, at the times of this clock.
@@ -128,7 +128,8 @@
 }
 
 // Configure applies new settings atomically between two events, or returns an error and changes nothing. Open calls
-// keep the deadlines they were accepted with. It blocks until the owner has applied the settings.
+// keep the deadlines they were accepted with. It blocks until the owner has applied the settings or the engine has
+// stopped.
 func (e *Engine) Configure(s settings.Settings, maxBytes int64) error {
 	done := make(chan error, 1)
 	e.ConfigureLater(s, maxBytes, func(err error) { done <- err })
@@ -140,7 +141,8 @@
 	}
 }
 
-// ConfigureLater is Configure without the wait. done receives the result in the owner's goroutine.
+// ConfigureLater is Configure without the wait. done receives the result in the owner's goroutine; it is not called if
+// the engine stops first.
 func (e *Engine) ConfigureLater(s settings.Settings, maxBytes int64, done func(error)) {
 	e.post(func() {
 		next := s.WithIndexesOf(e.Settings)
--- a/internal/core/intake.go
+++ b/internal/core/intake.go
@@ -47,8 +47,8 @@
 		return false
 	}
 	if e.calls[r.Key] != nil || e.recentlyEnded(r.Key) {
-		// A caller that uses the id of another call must neither receive that call's answer nor divert it. The id of an
-		// ended call can't be used again: late messages of a core for the ended call must not reach a later one.
+		// A caller that uses the id of another call must neither receive that call's answer nor divert it. The id of a
+		// recently ended call can't be used again: late messages of a core for that call must not reach a later one.
 		e.counts.Repeated++
 		r.Caller.Refuse(r.Key, Verdict{Failed: true, Invalid: true, Cause: causeProtocolError, Detail: "id is in use"})
 		return false
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -129,9 +129,9 @@
 	a := c.current
 	unresolved := o.Result == brookmux.ResultOK && !a.stands
 	if unresolved && a.timeout.at-e.now <= timeoutTolerance {
-		// A core whose set-up times out ends it with normal clearing, often just before the engine's own timer. The
-		// module does not take a normal end as the end of a call that never stood, and would wait for ever, and the
-		// caller with it.
+		// A core whose set-up times out ends it with normal clearing, often just before the engine's own timer. It is
+		// reported as a timeout: on ResultOK the module would drop the call without another attempt or a final answer,
+		// for which its caller would go on waiting.
 		o.Result, unresolved = brookmux.ResultTimeout, false
 	}
 	a.timeout.stop()
--- a/routes.go
+++ b/routes.go
@@ -37,7 +37,7 @@
 }
 
 // enqueue queues a call that has no circuit or did not pass its gate, until it can no longer stand in time. It
-// reports whether the call is queued; calls in transit are not.
+// reports whether the call is queued. Calls in transit and calls to an exchange without a ready switch are not.
 func (c *Controller) enqueue(now time.Duration, p *pendingCall) bool {
 	to := c.exchange(p.Destination)
 	until := min(p.latestSend(to), p.Expires-minSetUpTime)
@@ -56,7 +56,8 @@
 	return true
 }
 
-// retryQueued sends queued calls over an exchange whose circuits have changed, those of highest worth first.
+// retryQueued sends the calls that wait for a circuit over an exchange whose circuits have changed, those of highest
+// worth first.
 func (c *Controller) retryQueued(now time.Duration, e *exchange) {
 	for _, p := range slices.Clone(c.queue) {
 		if !p.gated && (p.Destination == e.number && c.pickRoute(now, p) == e || c.usableTandem(now, p, e)) {
