--- a/internal/corelink/connection.go
+++ b/internal/corelink/connection.go
@@ -178,7 +178,8 @@
 }
 
 // serve reads a connection until it ends. It then reports the set-ups that were open on it as lost, sends its
-// unconfirmed releases again on another connection, and elects a new leader if it led.
+// unconfirmed releases again on another connection, and elects a new leader if it led. Once the pool's context has
+// ended, no release is sent again.
 func (e *endpoint) serve(ctx context.Context, c *connection) {
 	defer close(c.done)
 	stop := context.AfterFunc(e.pool.ctx, c.Close)
@@ -287,7 +288,7 @@
 	if m.kind == kindState {
 		c.groupState = &m.report
 	} else if e.leader != nil && e.leader != c {
-		m.report.Free = brookmux.Absent // Free may be outdated, as in a state that does not lead; other figures may not
+		m.report.Free = brookmux.Absent // Free may be outdated, as c does not lead; other values are current
 	}
 	e.pool.mu.Unlock()
 	if m.kind == kindRelease || m.kind == kindAnswer {
--- a/internal/corelink/endpoint.go
+++ b/internal/corelink/endpoint.go
@@ -287,8 +287,8 @@
 	}
 }
 
-// runExtraConnection opens an additional connection to check the core while set-ups are open on all others, and keeps
-// it until it ends.
+// runExtraConnection opens an additional connection to check the core while all others carry calls or have open
+// set-ups, and keeps it until it ends.
 func (e *endpoint) runExtraConnection(ctx context.Context) {
 	dialer := net.Dialer{Timeout: min(e.pool.connectTimeout(), checkConnectTimeout)}
 	conn, err := dialer.DialContext(ctx, "tcp", e.Addr)
--- a/internal/corelink/message.go
+++ b/internal/corelink/message.go
@@ -136,7 +136,7 @@
 	return append(b, "}\n"...)
 }
 
-// encodeCause encodes a message without fields that has a cause.
+// encodeCause encodes a message that has a cause and empty fields.
 func encodeCause(kind, id string, cause core.Cause) []byte {
 	b := append([]byte(nil), `{"type":"`+kind+`","id":`...)
 	b = jsontext.Append(b, id)
--- a/internal/corelink/pool.go
+++ b/internal/corelink/pool.go
@@ -115,8 +115,8 @@
 }
 
 // Update applies the whole membership list of running cores. It reports as lost the calls on cores that are no longer
-// listed, and those sent to a core before its last start. Calls sent to the address of an unlisted core after a newly
-// listed core started there are moved to the new core.
+// listed or have another address, and those sent to a core before its last start. Calls sent to the address of an
+// unlisted core after a newly listed core started there are moved to the new core.
 func (p *Pool) Update(cores []Core) {
 	p.mu.Lock()
 	moved := p.takeovers(cores)
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -19,6 +19,7 @@
 	"brookmux"
 )
 
+// serviceName is the name that SRV queries for the list ask for.
 const serviceName = "_app._tcp.cluster.lan."
 
 // Entry is a core in the membership list.
@@ -202,7 +203,7 @@
 // Merger combines the lists of several sources into one. OnChange must be set before the first Set. Set may be called
 // from any goroutine.
 type Merger struct {
-	OnChange func(brookmux.Members) // receives the combined list after each change, in order, with the lock held
+	OnChange func(brookmux.Members) // receives the combined list after each Set, in order, with the lock held
 
 	mu    sync.Mutex
 	parts map[string][]brookmux.Switch
--- a/internal/directory/schedule.go
+++ b/internal/directory/schedule.go
@@ -6,8 +6,8 @@
 
 const (
 	queryInterval     = 200 * time.Millisecond // between two queries while answers are prompt
-	maxInterval       = time.Second            // base while queries fail; small, as an outage may end at any time
-	maxQueryGap       = 4 * time.Second        // even with a full window: changes count as known 6 s after an outage
+	maxInterval       = time.Second            // maximum without jitter while queries fail: an outage may end any time
+	maxQueryGap       = 4 * time.Second        // also with a full window: a change counts as known 6 s after an outage
 	promptDelay       = 500 * time.Millisecond // an answer within this delay restores the normal rate
 	minTimeout        = 600 * time.Millisecond // lower bound of the time after which a query counts as lost
 	maxTimeout        = 30 * time.Second
@@ -147,7 +147,8 @@
 // inUse reports whether an ID belongs to a query whose answer would still be accepted.
 func (s *schedule) inUse(id uint16) bool { return s.queries[id] != nil }
 
-// answered records a valid answer and returns its delay. It returns false if no query has this ID.
+// answered records a valid answer and returns its delay. It returns false if no query has this ID. A prompt answer, or
+// one with a longer delay than before, sets the smoothed delay at once; other delays are averaged in.
 func (s *schedule) answered(id uint16, now time.Duration) (time.Duration, bool) {
 	q := s.queries[id]
 	if q == nil {
--- a/internal/liveness/lease.go
+++ b/internal/liveness/lease.go
@@ -339,8 +339,10 @@
 	}
 }
 
+// newest returns the process that is at the core's address now.
 func (l *Lease) newest() *process { return l.processes[len(l.processes)-1] }
 
+// drop removes a process.
 func (l *Lease) drop(p *process) {
 	l.processes = slices.DeleteFunc(l.processes, func(q *process) bool { return q == p })
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -54,8 +54,8 @@
 	return FromValue(v)
 }
 
-// FromValue decodes a settings object that is part of a parsed JSON document. It returns the first error together with
-// the settings decoded so far.
+// FromValue decodes a settings object that is part of a parsed JSON document. It returns the first error; the
+// settings are incomplete then.
 func FromValue(v *fastjson.Value) (Settings, error) {
 	r := reader{}
 	if v == nil || v.Type() != fastjson.TypeObject {
--- a/internal/storm/callers.go
+++ b/internal/storm/callers.go
@@ -3,8 +3,8 @@
 import "time"
 
 // Callers that were given a wait, in a set-associative table of fixed size. A caller is identified by a hash of what
-// its tries have in common. Callers that share a hash, as those behind one address may, are not penalised for each
-// other's tries.
+// its tries have in common. Callers may share a hash, as those behind one address do: a first try never counts as
+// early, and a further try does so only while a wait given under the hash has not been followed by one.
 const (
 	callerWays      = 4
 	callerSets      = 2048                  // must be a power of two
@@ -40,13 +40,13 @@
 }
 
 // recordTry records a try of a caller, which has marked it as a further one if resent is set. It reports whether
-// the caller ignores advice, and how many waits it was given in a row.
+// the caller ignores advice, and how many waits it was given in a row: 0 if the try follows none of them.
 func (c *callers) recordTry(now time.Duration, hash uint64, resent bool) (ignorer bool, tries int) {
 	e := c.find(now, hash)
 	if e == nil {
 		return false, 0
 	}
-	if !resent || e.away == 0 { // a caller that shares the hash and was given no wait
+	if !resent || e.away == 0 { // perhaps another caller with this hash, which was given no wait
 		return e.early >= ignorerOffences, 0
 	}
 	e.away--
--- a/internal/storm/storm.go
+++ b/internal/storm/storm.go
@@ -88,7 +88,7 @@
 	meter
 	budget
 	away       rate // callers given a wait, averaged over awaySpan
-	rejected   rate // first tries rejected because the window was full
+	rejected   rate // first tries without space in the window, except those to heavy numbers
 	firstTries rate
 	served     rate
 	heavy      heavy
@@ -97,7 +97,7 @@
 // Counts holds totals since the start.
 type Counts struct {
 	Offered, Redials, Ignorers int             // calls, redials among them, calls of callers that ignore advice
-	Rejected                   [numReasons]int // rejected calls
+	Rejected                   [numReasons]int // rejected calls, by Reason
 	Vetoed                     int             // further attempts denied by a retry budget
 	Ramps                      int             // ramp-ups restarted after an outage or with a new processor
 }
@@ -266,7 +266,8 @@
 	return s.advise(now, s.dest(number), caller, tries)
 }
 
-// advise draws a wait for a rejected caller and records it.
+// advise draws a wait for a rejected caller and records it. If Config.Advice is off, it returns MaxWait and records
+// nothing.
 func (s *Storm) advise(now time.Duration, d *dest, caller uint64, tries int) time.Duration {
 	if !s.Advice {
 		return s.MaxWait
@@ -360,7 +361,7 @@
 	if d == nil {
 		return 0
 	}
-	if d.rejected.get(now, fastSpan) < minRejectedRate { // also after the congestion has ended
+	if d.rejected.get(now, fastSpan) < minRejectedRate { // the congestion has ended, or is too small to report
 		return 0
 	}
 	switch ratio := share(d.rejected.get(now, fastSpan), d.firstTries.get(now, fastSpan)); {
--- a/internal/storm/window.go
+++ b/internal/storm/window.go
@@ -12,7 +12,7 @@
 const (
 	minWindow       = 2.0  // a single set-up says nothing about the next
 	initialWindow   = 16.0 // after a start or an outage, total of all controllers
-	unprovenWindow  = 6.0  // below this size it grows even if it is not used: so few calls may coincide by chance
+	unprovenWindow  = 6.0  // below this size it grows without proof of use: how many of so few calls coincide is chance
 	maxWindow       = 4096 // maximum number of open calls to one destination
 	backOffFactor   = 0.7  // the size is multiplied by this after a rejected or lost set-up
 	backOffInterval = 300 * time.Millisecond
@@ -50,7 +50,7 @@
 	wait            time.Duration // queueing delay of the last answered set-up
 	answeredAt      time.Duration // time of the last answer
 	unansweredSince time.Duration // time of the first set-up after that
-	unanswered      bool
+	unanswered      bool          // a set-up was sent since the last answer
 	backedOffAt     time.Duration // time of the last back-off
 	level           int           // congestion level signalled by the exchange
 	levelUntil      time.Duration // level applies until then
@@ -97,7 +97,7 @@
 }
 
 // stood records an answered set-up that took this long and adapts the size: it shrinks while the queueing delay
-// exceeds target, and grows while the window is used.
+// exceeds target, and grows while the window is used or smaller than unprovenWindow.
 func (w *window) stood(now, took, target time.Duration) {
 	if w.unresponsive(now) {
 		w.ramp()
--- a/internal/stormconf/stormconf.go
+++ b/internal/stormconf/stormconf.go
@@ -30,7 +30,7 @@
 	Cold    *bool `toml:"cold"`
 }
 
-// Notify selects how callers and peers are notified of congestion, in addition to X-Cooldown.
+// Notify selects how callers and peers are notified of waits and congestion, in addition to X-Cooldown.
 type Notify struct {
 	RetryAfter bool `toml:"retry_after"` // SIP Retry-After (RFC 3261, 20.33)
 	Level      bool `toml:"level"`       // ISUP automatic congestion level (Q.763, 3.4)
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -100,8 +100,8 @@
 	done      chan struct{} // closed when no more bytes are written
 }
 
-// NewWriter returns a Writer on conn and starts its goroutine. The goroutine ends with the connection, so the caller
-// must end it with Close, Finish, HalfClose or LingerClose.
+// NewWriter returns a Writer on conn and starts its goroutine. The goroutine runs until a write fails or the caller
+// calls Close, Finish, HalfClose or LingerClose, so the caller must call one of them.
 func NewWriter(conn net.Conn) *Writer {
 	if t, ok := conn.(*net.TCPConn); ok {
 		_ = t.SetKeepAlivePeriod(keepAlivePeriod) // best effort: the write deadlines apply without it
@@ -155,10 +155,11 @@
 	w.Finish()
 }
 
-// LingerClose closes the connection after a linger: it closes the writing half after the queued messages have been
-// written, then reads and discards input for up to lingerTimeout and maxLingerBytes before it closes the connection.
-// Closing at once while input is unread would make the local system send a reset, on which the peer's system may drop
-// the last response unread. The caller must have stopped reading.
+// LingerClose closes the connection after a linger. The writing half is closed once the queued messages have been
+// written. Meanwhile LingerClose reads and discards input, until the peer ends the connection or for at most
+// lingerTimeout and maxLingerBytes, and then closes the connection. Closing at once while input is unread would make
+// the local system send a reset, on which the peer's system may drop the last response unread. The caller must have
+// stopped reading.
 func (w *Writer) LingerClose() {
 	w.halfClose.Store(true)
 	w.Finish()
