--- a/cmd/brookmux/manage.go
+++ b/cmd/brookmux/manage.go
@@ -120,12 +120,12 @@
 	grpc         *grpc.Server
 
 	mu        sync.Mutex
-	notify    func(string, ...[2]string) // sends an event to the subscribers; nil until NETCONF is open
+	notify    func(string, ...[2]string) // sends an event to the subscribers; nil until openOperator sets it
 	committed *string                    // committed max-open-calls; nil while the store holds it
-	maxOpen   int                        // calls open at a time by the platform's settings, unless configured
+	maxOpen   int                        // limit of the settings on calls open at a time; max-open-calls takes precedence
 }
 
-// setMaxOpen sets the platform's limit on calls open at a time, and applies it unless max-open-calls is configured.
+// setMaxOpen sets the limit of the settings on calls open at a time, and applies it unless max-open-calls is set.
 func (m *manager) setMaxOpen(n int) {
 	m.mu.Lock()
 	m.maxOpen = n
@@ -271,7 +271,8 @@
 	}
 }
 
-// publish writes the phase and the counters of each report to the store, until the context ends.
+// publish writes the phase and the counters of each report to the store, and sends an event for each storm state that
+// changed, until the context ends.
 func (m *manager) publish(ctx context.Context, phase *lifecycle.Lifecycle, reports <-chan core.Counts) {
 	base := fmt.Sprintf(controllerPath, m.name)
 	var states map[storm.Scope]storm.State
--- a/cmd/brookmux/operate.go
+++ b/cmd/brookmux/operate.go
@@ -150,8 +150,8 @@
 	statuses       map[int]intent.ExchangeOrigin
 	nextUpdate     time.Duration
 	pendingEvents  [][][2]string              // to be sent by sendEvents
-	notify         func(string, ...[2]string) // sends an event to the subscribers; nil until NETCONF is open
-	onDraining     func(map[string]string)    // receives the result of draining after each list; called without the lock
+	notify         func(string, ...[2]string) // sends an event to the subscribers; nil until openOperator sets it
+	onDraining     func(map[string]string)    // gets the result of draining after each list; called without the lock
 }
 
 // setListed replaces the membership list.
@@ -243,7 +243,7 @@
 	t.update(brookmux.Full)
 }
 
-// tick drops removed exchanges whose time to linger is over.
+// tick drops removed exchanges whose drain (intent.DrainAfterRemoval) is over.
 func (t *exchangeTable) tick() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -403,8 +403,8 @@
 	log           *slog.Logger
 }
 
-// openOperator opens the journal, applies the configuration it holds and starts the NETCONF listener. It returns nil if
-// the file disables it. Errors of the listener go to failed.
+// openOperator opens the journal, applies the configuration it holds and, if an address is configured, starts the
+// NETCONF listener. It returns nil if NETCONF is not enabled. Errors of the listener go to failed.
 func openOperator(ctx context.Context, c netconfConfig, table *exchangeTable, settingsOverlay *overlay, m *manager,
 	zones []string, failed chan<- error) (*operator, error) {
 	log := m.log
@@ -494,8 +494,8 @@
 	return r
 }
 
-// runPeriodic cancels commits that were not confirmed in time, drops exchanges whose time to linger is over, and sends
-// pending events, until the context ends.
+// runPeriodic reverts commits that were not confirmed in time, drops removed exchanges whose drain is over, and sends
+// pending events to the subscribers of NETCONF and gNMI, until the context ends.
 func (o *operator) runPeriodic(ctx context.Context, table *exchangeTable) {
 	t := time.NewTicker(operatorInterval)
 	defer t.Stop()
--- a/cmd/brookmux/reload.go
+++ b/cmd/brookmux/reload.go
@@ -62,7 +62,8 @@
 		}
 	}
 	maxCallers, _ := splitDescriptors(next.sockets, r.peers)
-	if err := r.settingsOverlay.setPlatform(next.settings, next.memory/8, maxCallers); err != nil { // the last step that can fail
+	// This is the last step that can fail.
+	if err := r.settingsOverlay.setPlatform(next.settings, next.memory/8, maxCallers); err != nil {
 		conn.Close()
 		if listener != nil {
 			listener.Close()
--- a/internal/intent/intent.go
+++ b/internal/intent/intent.go
@@ -62,8 +62,8 @@
 	return f, ok && err == nil
 }
 
-// Exchanges returns the configured exchanges of a tree that contains its defaults. zones are the names of the platform's
-// zones; an exchange in any other zone is an error.
+// Exchanges returns the configured exchanges of a tree that contains its defaults. zones are the names of the
+// platform's zones; an exchange in any other zone is an error.
 func Exchanges(tree *schema.Node, zones []string) ([]Exchange, error) {
 	list := tree.Get("exchanges")
 	if list == nil {
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -21,8 +21,8 @@
 	"brookmux/internal/datastore"
 )
 
-// Sizes, in bytes except for maxOpenFiles. They are small because a journal holds a few hundred records and is read only
-// at the start.
+// Sizes, in bytes except for maxOpenFiles. They are small because a journal holds a few hundred records, of which few
+// are read after the start.
 const (
 	memTableSize   = 1 << 20
 	cacheSize      = 1 << 20
--- a/internal/m3ua/client.go
+++ b/internal/m3ua/client.go
@@ -239,7 +239,7 @@
 	return nil
 }
 
-// releaseOutcome translates the cause of a REL to an outcome (see the table in the README).
+// releaseOutcome translates a REL to the outcome of its attempt or call, by its cause (see the table in the README).
 func releaseOutcome(m isupMessage) core.Outcome {
 	o := core.Outcome{Cause: m.cause, Level: m.level, Result: brookmux.ResultError}
 	switch m.cause {
--- a/internal/m3ua/group.go
+++ b/internal/m3ua/group.go
@@ -28,7 +28,7 @@
 	rel         isupMessage // the REL to send while releasing
 	resendTimer *time.Timer // sends rel again after T1
 	sendCount   int         // number of times that rel was sent
-	owner       any
+	owner       any         // the call's *caller at a server, nil at a client
 }
 
 // circuitGroup holds the circuits in use between two point codes. It outlives the association: a standing call
--- a/internal/m3ua/network.go
+++ b/internal/m3ua/network.go
@@ -161,7 +161,8 @@
 }
 
 // handleSSNM applies the state of the exchange that the far end reports. No new attempt is sent to an unreachable
-// exchange, and the core is notified of its congestion level. Standing calls continue.
+// exchange. The engine is notified of the congestion level and, with storm control, sends less to a congested one.
+// Standing calls continue.
 func (l *link) handleSSNM(m Message, ranges []pointCodeRange) error {
 	for _, r := range ranges {
 		if !r.contains(l.PointCode) {
--- a/internal/m3ua/server.go
+++ b/internal/m3ua/server.go
@@ -93,7 +93,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return fmt.Errorf("m3ua: accept: %w", err)
 		}
-		if err != nil { // out of descriptors, or the connection ended before accept: both pass
+		if err != nil { // out of descriptors, or the connection ended before accept: both are temporary
 			s.log.Warn("m3ua: accept", "error", err)
 			time.Sleep(acceptRetryDelay)
 			continue
--- a/internal/sipfront/conn.go
+++ b/internal/sipfront/conn.go
@@ -19,7 +19,7 @@
 	firstMessageTimeout = 2500 * time.Millisecond // from the start of a connection to the end of its first message
 	messageTimeout      = 2 * time.Second         // from the first byte of a message to its last
 	idleTimeout         = 10 * time.Second        // without open set-ups or calls; callers close theirs after 4 s
-	maxFaults           = 16                      // consecutive faulty messages before the connection is closed
+	maxFaults           = 16                      // faulty messages, without a successful set-up, that end it
 	maxPendingSetUps    = 512                     // per connection
 )
 
@@ -39,7 +39,7 @@
 	lastReceived atomic.Int64 // Unix nanoseconds, of the last message
 	faults       atomic.Int32 // faulty messages since a set-up last succeeded
 	received     atomic.Bool  // a complete message has been received
-	usedForCalls atomic.Bool  // has received a request other than OPTIONS: test-only peers may not read releases
+	usedForCalls atomic.Bool  // has received more than OPTIONS: a caller that only tests may never read releases
 	hadCall      atomic.Bool  // a set-up received on it resulted in a standing call
 
 	standingCalls atomic.Int32 // standing calls set up on it; changed under the front's lock
@@ -301,7 +301,7 @@
 	c.Send(appendBody(m.response(status, reason), nil))
 }
 
-// terminateInvite answers a pending set-up that its caller has cancelled with 487.
+// terminateInvite answers a set-up that is pending, and that its caller has withdrawn, with 487.
 func (c *conn) terminateInvite(key string) {
 	if invite, ok := c.takeInvite(key); ok {
 		c.reply(invite.message, 487, "Request Terminated")
--- a/internal/sipfront/front.go
+++ b/internal/sipfront/front.go
@@ -165,7 +165,7 @@
 }
 
 // sendUnsent sends the releases that wait for a connection, on c. It is called at the first request on c that is not
-// a test: a peer that sends nothing or only tests may never read them.
+// a test: a caller that sends nothing or only tests may never read them.
 func (f *Front) sendUnsent(c *conn) {
 	f.mu.Lock()
 	unsent := f.unsent
--- a/internal/transact/crash_test.go
+++ b/internal/transact/crash_test.go
@@ -104,9 +104,9 @@
 }
 
 // TestCrashMatrix simulates a power cut before each write to the disk, with either all or none of the unsynced data
-// surviving. The sequence covers commits, confirmed commits, their confirmation and expiry, a rollback, a copy to startup
-// and the trimming of the journal. After the restart the configuration must be the last acknowledged one or that of the
-// transaction in progress, in full either way, and a pending commit must have been reverted.
+// surviving. The sequence covers commits, confirmed commits, their confirmation and expiry, a rollback, a copy to
+// startup and the trimming of the journal. After the restart the configuration must be the last acknowledged one or
+// that of the transaction in progress, in full either way, and a pending commit must have been reverted.
 func TestCrashMatrix(t *testing.T) {
 	m, disk := loadModel(t), vfs.NewCrashableMem()
 	now := time.Unix(1_800_000_000, 0)
@@ -210,8 +210,8 @@
 	return nil
 }
 
-// TestPartRefuses checks that a transaction that one part can't apply is reverted in the parts that have applied it, and
-// that the store, the parts and the journal agree afterwards, also if the program ended before the revert.
+// TestPartRefuses checks that a transaction that one part can't apply is reverted in the parts that have applied it,
+// and that the store, the parts and the journal agree afterwards, also if the program ended before the revert.
 func TestPartRefuses(t *testing.T) {
 	m, disk := loadModel(t), vfs.NewMem()
 	accept, refuse := &fakePart{refuse: func(*schema.Node) error { return nil }}, &fakePart{}
--- a/internal/transact/transact.go
+++ b/internal/transact/transact.go
@@ -82,7 +82,7 @@
 	}
 	now := &datastore.Txn{Record: datastore.Record{Revision: store.LastRevision(), Kind: datastore.KindBase}, New: running}
 	if failed := o.apply(now); failed != nil {
-		// The process ended after this transaction was made durable and before its revert, which a part's error requires.
+		// A part can't apply the last transaction: the process ended after making it durable and before reverting it.
 		revert := store.RevertFailed(now, c.Now(), failed.Error())
 		if revert == nil {
 			return nil, failed
@@ -154,8 +154,8 @@
 	}
 }
 
-// execute makes a transaction durable and applies it. If a part fails, it reverts the transaction and returns the error.
-// The lock is held.
+// execute makes a transaction durable and applies it. If a part fails, it reverts the transaction and returns the
+// error. The lock is held.
 func (o *Owner) execute(t *datastore.Txn) error {
 	if err := o.persist(t); err != nil {
 		return err
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -44,7 +44,7 @@
 	Entries []Entry
 }
 
-// Fleet is the response of discovery to one instance.
+// Fleet is a message of discovery to one instance. How tells in which way the numbered list Set applies.
 type Fleet struct {
 	Who    uint32
 	How    uint8
