--- a/internal/datastore/commit.go
+++ b/internal/datastore/commit.go
@@ -33,9 +33,9 @@
 	Via              string          `json:"via,omitempty"`
 	At               time.Time       `json:"at"`
 	Comment          string          `json:"comment,omitempty"`
-	Timeout          time.Duration   `json:"timeout,omitempty"` // of a confirmed commit, in nanoseconds; 0 for any other
+	Timeout          time.Duration   `json:"timeout,omitempty"` // of a confirmed commit, in nanoseconds; else 0
 	Persist          string          `json:"persist,omitempty"`
-	RevertTo         uint64          `json:"before,omitempty"` // of a confirmed commit: the revision restored if it is not confirmed
+	RevertTo         uint64          `json:"before,omitempty"` // restored if a confirmed commit is not confirmed
 	Changes          []schema.Change `json:"changes,omitempty"`
 	Items            []schema.Item   `json:"items,omitempty"`   // of a base: the content of running
 	Startup          []schema.Item   `json:"startup,omitempty"` // of a base: the content of startup
@@ -397,7 +397,8 @@
 			}
 		}
 		if r.RestoredRevision > 0 {
-			_ = tree.Put(schema.Item{Path: prefix + "of", Value: strconv.FormatUint(r.RestoredRevision, 10)}) // a number is always valid here
+			// A number is always valid here.
+			_ = tree.Put(schema.Item{Path: prefix + "of", Value: strconv.FormatUint(r.RestoredRevision, 10)})
 		}
 	}
 }
--- a/internal/datastore/datastore_test.go
+++ b/internal/datastore/datastore_test.go
@@ -113,8 +113,8 @@
 	return ""
 }
 
-// TestLocks checks that one session at a time can lock a datastore, and that the end of a session releases its locks and
-// discards the edits made under them.
+// TestLocks checks that one session at a time can lock a datastore, and that the end of a session releases its locks
+// and discards the edits made under them.
 func TestLocks(t *testing.T) {
 	b := newFixture(t)
 	one, two := b.openSession(), b.openSession()
@@ -187,8 +187,8 @@
 	require.Equal(t, schema.BadElement, faultTag(b.Edit(id, b.editAt(Delete, entry+"/name", "page"))))
 }
 
-// TestConfirmed checks that a confirmed commit stays in force only if it is confirmed, and is reverted after its timeout,
-// the end of its session, a cancel or a restart of the program.
+// TestConfirmed checks that a confirmed commit stays in force only if it is confirmed, and is reverted after its
+// timeout, the end of its session, a cancel or a restart of the program.
 func TestConfirmed(t *testing.T) {
 	type ending struct {
 		name   string
@@ -291,8 +291,8 @@
 	require.LessOrEqual(t, len(b.History()), 2*b.Keep)
 }
 
-// TestDrains checks that a change that would send new calls to a draining exchange is rejected, also if the drain starts
-// between validation and commit, and that a change that takes calls away from it is accepted.
+// TestDrains checks that a change that would send new calls to a draining exchange is rejected, also if the drain
+// starts between validation and commit, and that a change that takes calls away from it is accepted.
 func TestDrains(t *testing.T) {
 	d := &Drains{}
 	b := newFixture(t, d.Guard)
@@ -344,8 +344,8 @@
 	require.Equal(t, schema.ResourceDenied, faultTag(err), "the first transaction has ended")
 }
 
-// TestRestored checks with random operations that a Store restored from the records has the same content, and that every
-// transaction either completes or leaves no trace.
+// TestRestored checks with random operations that a Store restored from the records has the same content, and that
+// every transaction either completes or leaves no trace.
 func TestRestored(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := newFixture(t)
--- a/internal/datastore/edit.go
+++ b/internal/datastore/edit.go
@@ -46,7 +46,8 @@
 	OnError ErrorOption
 }
 
-// EditNode is one node of an edit with the nodes below it. Keys and values are in canonical form.
+// EditNode is one part of an edit: an operation on a node, with the parts below it. Keys and values are in canonical
+// form.
 type EditNode struct {
 	Def      *schema.Def
 	Op       Operation
--- a/internal/datastore/store.go
+++ b/internal/datastore/store.go
@@ -139,8 +139,8 @@
 	return x, ok
 }
 
-// Lock locks a datastore for a session (RFC 6241, 7.5). It fails if the datastore is locked, if the candidate has
-// uncommitted edits, or for running if another session has a pending commit.
+// Lock locks a datastore for a session (RFC 6241, 7.5). It fails if the datastore is locked. The candidate can't be
+// locked while it has uncommitted edits, nor running while a commit of another session is pending.
 func (s *Store) Lock(id SessionID, t Target) error {
 	if _, ok := s.sessions[id]; !ok {
 		return errNoSession
--- a/internal/faulttrial/caller.go
+++ b/internal/faulttrial/caller.go
@@ -28,7 +28,7 @@
 	Pieces      bool          // write messages in pieces of 1 to 20 bytes
 	Acknowledge bool          // answer a release with 200
 	DialOnEnd   bool          // send a new set-up together with the answer to a release
-	KeepOpen    bool          // after the controller closes a connection, keep the caller's side open for callerIdleTimeout
+	KeepOpen    bool          // keep a connection that the controller has closed open for callerIdleTimeout
 	ReadPause   time.Duration // delay before each message is handled
 	StopAt      time.Duration // no new set-ups after this time since the trial's start
 }
--- a/internal/faulttrial/check.go
+++ b/internal/faulttrial/check.go
@@ -10,23 +10,26 @@
 const (
 	tolerance              = 50 * time.Millisecond   // added to every time limit, beside the measured lag of timers
 	answerGrace            = 500 * time.Millisecond  // a final answer may follow the caller's deadline by this
-	drainGrace             = time.Second             // a notified controller may send set-ups to a draining core for this
+	drainGrace             = time.Second             // for a notified controller's last set-ups to a draining core
 	minResendWait          = 300 * time.Millisecond  // between a timeout, reset or cancel and the next attempt
 	releaseRelayLimit      = time.Second             // from the core's release to the caller's
 	releaseLimit           = 8 * time.Second         // from the end of a call to its caller's release
 	notifiedAfter          = 1500 * time.Millisecond // from a membership change, while discovery answers
-	notifiedAfterOutage    = 6 * time.Second         // from the change or discovery's later recovery, after a failed query
+	notifiedAfterOutage    = 6 * time.Second         // after a fault of discovery: from the change or a later recovery
 	notifiedAfterReload    = 4 * time.Second         // from a new configuration
 	maxCountedDeadline     = 3 * time.Second         // a longer deadline counts as this in the kill time
 	shutdownMargin         = 700 * time.Millisecond  // between that and SIGKILL
-	staleReadWindow        = 500 * time.Millisecond  // time a core takes, once back, to read what arrived during its outage
+	staleReadWindow        = 500 * time.Millisecond  // after an outage, for a core to read what arrived during it
 	maxToleratedOutage     = 7 * time.Second         // calls stay on a core that is unresponsive for less
-	undeliveredAnswerLimit = 2 * time.Second         // a call whose answer did not reach its caller is released at its core
+	undeliveredAnswerLimit = 2 * time.Second         // until a call with an undelivered answer is released at its core
 	warmUpTime             = 14 * time.Second        // until a core that has started has its full capacity
 	coldShare              = 0.3                     // part of its full capacity that a core has at its start
-	fallMultiple           = 4                       // set-ups within fallWindow that overload a core, as a multiple of its capacity
-	fallWindow             = 2 * time.Second
-	minNotifiedShare       = 2.0 / 3 // the rule on cold cores counts a breach only if more of the set-ups came from notified controllers
+	fallMultiple           = 4                       // set-ups above this multiple of a core's capacity overload it
+	fallWindow             = 2 * time.Second         // period over which these set-ups are counted
+
+	// minNotifiedShare is the share of a cold core's set-ups that notified controllers must exceed for a breach to
+	// count.
+	minNotifiedShare = 2.0 / 3
 )
 
 // Reasons to excuse a call whose caller received no release because the controller's process had ended.
@@ -51,7 +54,7 @@
 	RuleRelease      Rule = "release"       // the caller of an ended call is not released in time
 	RuleGivenUp      Rule = "given-up"      // a call was cut although its core was alive and responsive again in time
 	RuleCold         Rule = "cold"          // a core that has just started was overloaded
-	RuleLeftStanding Rule = "left-standing" // a call stands at a core, unreleased, and its caller did not get the answer
+	RuleLeftStanding Rule = "left-standing" // a call stands at a core, although its caller did not get the answer
 	RuleCrash        Rule = "crash"         // a process crashed, ended with an error or was not ready in time
 	RuleLimit        Rule = "limit"         // the limit on memory or descriptors is exceeded
 )
--- a/internal/faulttrial/core.go
+++ b/internal/faulttrial/core.go
@@ -11,7 +11,7 @@
 const (
 	maxStateConnections = 4               // a change of a group's state is sent on at most this many connections
 	releaseRepeatPeriod = 2 * time.Second // a release is repeated on each connection opened within this time
-	maxMessageLength    = 16 << 10
+	maxMessageLength    = 16 << 10        // bytes, of a message to a core or of a SIP body
 )
 
 // CoreBehaviour configures how a stand-in core serves calls. Shares are between 0 and 1.
--- a/internal/faulttrial/core_connections.go
+++ b/internal/faulttrial/core_connections.go
@@ -247,7 +247,7 @@
 	conn.writeMu.Lock()
 	defer conn.writeMu.Unlock()
 	if !conn.corrupted.Load() && !conn.forgotten.Load() {
-		_, _ = conn.Write([]byte(`{"type":"answer","id":"` + call)) // the reader detects an error as the connection's end
+		_, _ = conn.Write([]byte(`{"type":"answer","id":"` + call)) // the reader detects the connection's end
 		_ = conn.Conn.(*net.TCPConn).SetLinger(0)
 		conn.Close()
 	}
--- a/internal/faulttrial/discovery.go
+++ b/internal/faulttrial/discovery.go
@@ -46,7 +46,7 @@
 	Silent  DiscoveryMode = "silent"  // queries are not answered
 	Refused DiscoveryMode = "refused" // the port is closed
 	Slow    DiscoveryMode = "slow"    // each answer is sent after the delay given to SetMode
-	Crowded DiscoveryMode = "crowded" // the queries of all controllers share a queue; each takes the delay given to SetMode
+	Crowded DiscoveryMode = "crowded" // all controllers' queries share a queue; each takes the delay given to SetMode
 	Failing DiscoveryMode = "failing" // answers have the response code SERVFAIL
 	Short   DiscoveryMode = "short"   // answers are truncated to half their length
 	WrongID DiscoveryMode = "wrong"   // answers have a wrong message id
--- a/internal/faulttrial/lab.go
+++ b/internal/faulttrial/lab.go
@@ -127,8 +127,9 @@
 // Callers returns the callers of a controller, by the controller's index.
 func (l *Lab) Callers(i int) *Callers { return l.callers[i] }
 
-// Replace starts another core of an exchange at the addresses of the current one, which must have crashed or vanished.
-// The new core has the same id if sameID is set, else a new one. Discovery does not list it before Announce.
+// Replace starts another core of an exchange at the addresses of the current one, which must have ended or vanished.
+// The new core has the same id if sameID is set, else a new one. Discovery does not list the new core, or with the same
+// id its new start, before Announce.
 func (l *Lab) Replace(number int, sameID bool) error {
 	old := l.Core(number)
 	old.FreeAddresses()
--- a/internal/faulttrial/plan.go
+++ b/internal/faulttrial/plan.go
@@ -24,7 +24,7 @@
 	FaultClose         FaultKind = "close"           // a core closes its idle connections
 	FaultLateUp        FaultKind = "late-up"         // new connections to a core are served Delay late, for For
 	FaultDiscovery     FaultKind = "discovery"       // discovery is in Mode for For, with Delay per answer
-	FaultRestart       FaultKind = "restart"         // a controller gets SIGTERM, then SIGKILL as early as permitted, and restarts
+	FaultRestart       FaultKind = "restart"         // a controller gets SIGTERM, SIGKILL once permitted, and restarts
 	FaultRestartSeries FaultKind = "restart-series"  // all controllers restart, one after another
 	FaultKill          FaultKind = "kill"            // a controller gets SIGKILL and restarts
 	FaultReload        FaultKind = "reload"          // a controller gets new configurations in quick succession
@@ -32,13 +32,13 @@
 	FaultCrowd         FaultKind = "crowd"           // Count connections that send nothing, for For
 	FaultBurst         FaultKind = "burst"           // Count set-ups at once
 	FaultBadClients    FaultKind = "bad-clients"     // clients send malformed messages
-	FaultMute          FaultKind = "mute-connection" // a caller's connection is cut without a sign
-	FaultSignals       FaultKind = "signals"         // a restart, with Count further signals while the controller drains
+	FaultMute          FaultKind = "mute-connection" // a caller's connection is cut without a FIN or RST
+	FaultSignals       FaultKind = "signals"         // a restart, with Count more signals while the controller drains
 	FaultDrainEnds     FaultKind = "drain-ends"      // a restart; all calls end at once, For after SIGTERM
 )
 
-// FaultKinds lists every kind. The order matters: seeds draw kinds by index, lower ones from the first
-// originalKindCount.
+// FaultKinds lists every kind. The order matters, as seeds draw kinds by index: seeds below firstExtendedSeed from the
+// first originalKindCount.
 var FaultKinds = []FaultKind{FaultHang, FaultCutOff, FaultVanish, FaultTakeover, FaultCrashRestart, FaultCrashReplace,
 	FaultDrainReplace, FaultForget, FaultReset, FaultClose, FaultLateUp, FaultDiscovery, FaultRestart, FaultRestartSeries, FaultKill,
 	FaultReload, FaultReloadBad, FaultCrowd, FaultBurst, FaultBadClients, FaultMute, FaultSignals, FaultDrainEnds}
@@ -69,7 +69,7 @@
 // Plan describes a trial, usually as drawn from a seed.
 type Plan struct {
 	Seed        uint64          `json:"seed"`
-	Length      time.Duration   `json:"length"` // of faults and load; the trial then continues for settleTime
+	Length      time.Duration   `json:"length"` // of the load; the trial ends settleTime after that and all faults
 	Controllers int             `json:"controllers"`
 	Cores       int             `json:"cores"`
 	Circuits    int             `json:"circuits"`
@@ -125,6 +125,7 @@
 	}
 }
 
+// drawSettings draws the settings of the controllers, with one to three classes.
 func drawSettings(r planRand) Settings {
 	s := Settings{ConnectTimeout: r.between(200*time.Millisecond, time.Second), MaxAttempts: 2 + r.IntN(5), Memory: 96 + 32*r.IntN(4),
 		Descriptors: 256 + 128*r.IntN(7)}
@@ -168,7 +169,8 @@
 		steps = append(steps, drawStep(r, p, kind, r.between(first, max(first, p.Length-2*time.Second))))
 	}
 	if lowTraffic && len(only) == 0 {
-		steps = append(steps, drawStep(r, p, FaultBurst, first/2)) // so that calls stand in a controller with little traffic
+		// Calls then stand in a controller with little traffic.
+		steps = append(steps, drawStep(r, p, FaultBurst, first/2))
 	}
 	if extended && len(only) == 0 {
 		restarts := []FaultKind{FaultRestart, FaultRestartSeries, FaultSignals, FaultDrainEnds}
@@ -181,6 +183,7 @@
 	return steps
 }
 
+// drawStep draws a fault of a kind: its core, its controller, and the fields that the kind uses.
 func drawStep(r planRand, p Plan, kind FaultKind, at time.Duration) Step {
 	s := Step{At: at, Kind: kind, Core: 1 + r.IntN(p.Cores), Controller: r.IntN(p.Controllers)}
 	switch kind {
--- a/internal/faulttrial/record.go
+++ b/internal/faulttrial/record.go
@@ -19,18 +19,18 @@
 
 // The kinds of events. Each comment lists the fields that are set beside At.
 const (
-	CallerSent     Kind = "caller_sent"     // Call, Controller, Connection: a set-up was written completely
-	CallerAnswer   Kind = "caller_answer"   // Call, Controller, Status, Text: a final answer was read
-	CallerCancel   Kind = "caller_cancel"   // Call: the caller cancelled the set-up
-	CallerRelease  Kind = "caller_release"  // Call: the controller released the call at its caller
-	CallerHangup   Kind = "caller_hangup"   // Call: the caller released the call
-	CallerLost     Kind = "caller_lost"     // Call, Text: the connection of an unanswered set-up ended
+	CallerSent     Kind = "caller_sent"     // Call, Controller, Connection, Deadline: a set-up was written completely
+	CallerAnswer   Kind = "caller_answer"   // Call, Controller, Connection, Status, Text: a final answer was read
+	CallerCancel   Kind = "caller_cancel"   // Call, Controller: the caller cancelled the set-up
+	CallerRelease  Kind = "caller_release"  // Call, Controller, Connection: the controller released the call
+	CallerHangup   Kind = "caller_hangup"   // Call, Controller: the caller released the call
+	CallerLost     Kind = "caller_lost"     // Call, Controller, Connection, Text: the connection ended with no answer
 	CoreSetup      Kind = "core_setup"      // Call, Core, Controller: a set-up was read
-	CoreAnswer     Kind = "core_answer"     // Call, Core, Text: an answer was written
+	CoreAnswer     Kind = "core_answer"     // Call, Core, Controller, Text: an answer was written
 	CoreRefuse     Kind = "core_refuse"     // Call, Core, Cause: an attempt ended without an answer
-	CoreGivenUp    Kind = "core_given_up"   // Call, Core: the controller abandoned a set-up, or it was lost with its connection or its core
-	CoreEnd        Kind = "core_end"        // Call, Core, Text: a standing call ended, and how
-	CoreRelease    Kind = "core_release"    // Call, Core: the core wrote the release of a standing call
+	CoreGivenUp    Kind = "core_given_up"   // Call, Core, Text if its connection or core ended: a set-up was abandoned
+	CoreEnd        Kind = "core_end"        // Call, Core, Controller, Text: a standing call ended, and how
+	CoreRelease    Kind = "core_release"    // Call, Core, Controller: the core wrote the release of a standing call
 	CoreReleased   Kind = "core_released"   // Call, Core: the controller released a standing call
 	ProcessStart   Kind = "process_start"   // Controller
 	ProcessReady   Kind = "process_ready"   // Controller
--- a/internal/faulttrial/run.go
+++ b/internal/faulttrial/run.go
@@ -14,10 +14,10 @@
 	requestPeriod       = 500 * time.Millisecond // and, if they stop, send on open ones for this long
 	reloadInterval      = 300 * time.Millisecond // between configurations in quick succession
 	signalInterval      = 150 * time.Millisecond // between the signals of a series
-	measureInterval     = 500 * time.Millisecond
-	settleTime          = 11 * time.Second // after the last fault: a release is due within 8 s, discovery has answered
-	lagInterval         = 5 * time.Millisecond
-	coreCapacity        = 60 // set-ups per second that a warm core can serve, for the rule on cold cores
+	measureInterval     = 500 * time.Millisecond // between records of memory and descriptors
+	settleTime          = 11 * time.Second       // after the last fault: releases are due within 8 s, discovery answers
+	lagInterval         = 5 * time.Millisecond   // of the timers whose delay is measured
+	coreCapacity        = 60                     // set-ups per second that a warm core can serve, for RuleCold
 )
 
 // Trial is a plan that was run, with its events and verdict.
--- a/internal/netconf/bench_test.go
+++ b/internal/netconf/bench_test.go
@@ -46,7 +46,8 @@
 	require.Equal(t, "<data>"+maxWaitXML("1")+"</data>", c.rpc("<get-config><source><running/></source></get-config>"))
 }
 
-// reorder puts the leaves and the top-level nodes of a reply in the order of largeConfig. The server sorts them by name.
+// reorder puts the leaves and the top-level nodes of a reply in the order of largeConfig. The server sorts them by
+// name.
 func reorder(s string) string {
 	groups, exchanges, _ := strings.Cut(strings.TrimSuffix(strings.TrimPrefix(s, "<data>"), "</data>"), "<exchanges")
 	groups = moveAfter(groups, "<reserve>2</reserve>", "<size>")
--- a/internal/netconf/message.go
+++ b/internal/netconf/message.go
@@ -27,9 +27,9 @@
 // maxDepth is the maximum nesting depth of elements in a message.
 const maxDepth = 64
 
-// parseXML parses a message and returns its root element. Before it builds a tree, it rejects document types, processing
-// instructions other than the XML declaration, text that is not UTF-8 and elements nested deeper than maxDepth
-// (RFC 6241, 3).
+// parseXML parses a message and returns its root element. Before it builds a tree, it rejects document types,
+// processing instructions other than the XML declaration, text that is not UTF-8 and elements nested deeper than
+// maxDepth (RFC 6241, 3).
 func parseXML(message []byte) (*etree.Element, error) {
 	if !utf8.Valid(message) {
 		return nil, errors.New("it is not UTF-8")
@@ -281,8 +281,8 @@
 	return nil
 }
 
-// parseNode reads the keys, the value and the children of a node from its element, and completes its path with the keys.
-// The value of a leaf and the children of a node are not needed to delete or remove it.
+// parseNode reads the keys, the value and the children of a node from its element, and completes its path with the
+// keys. The value of a leaf and the children of a node are not needed to delete or remove it.
 func parseNode(node *datastore.EditNode, e *etree.Element, path string) error {
 	d := node.Def
 	deleting := node.Op == datastore.Delete || node.Op == datastore.Remove
--- a/internal/netconf/netconf_test.go
+++ b/internal/netconf/netconf_test.go
@@ -42,6 +42,7 @@
 	now    time.Time
 }
 
+// newTestServer returns a testServer with an empty configuration, on which access rules apply to all users but root.
 func newTestServer(t *testing.T) *testServer {
 	model, err := schema.Load(yang.Files)
 	require.NoError(t, err)
@@ -91,6 +92,7 @@
 // dial opens a session of user op with one base version, 1.0 or 1.1.
 func (ts *testServer) dial(version string) *client { return ts.dialAs("op", version) }
 
+// dialAs opens a session of a user with one base version, 1.0 or 1.1.
 func (ts *testServer) dialAs(user, version string) *client {
 	serverEnd, clientEnd := net.Pipe()
 	c := &client{t: ts.t, conn: clientEnd, framer: framer{r: bufio.NewReader(clientEnd), w: clientEnd}, done: make(chan error, 1)}
@@ -486,8 +488,8 @@
 	}
 }
 
-// TestLogin checks that only a user's own keys are accepted, that a new host key applies from the next connection on, and
-// that a thousand connections that never log in do not keep out a client that does.
+// TestLogin checks that only a user's own keys are accepted, that a new host key applies from the next connection on,
+// and that a thousand connections that never log in do not keep out a client that does.
 func TestLogin(t *testing.T) {
 	ts := newTestServer(t)
 	firstHostKey, _ := newKey(t)
--- a/internal/netconf/notify.go
+++ b/internal/netconf/notify.go
@@ -44,8 +44,8 @@
 // newEventStream returns a stream without events and subscribers.
 func newEventStream() *eventStream { return &eventStream{subscribers: map[*session]chan event{}} }
 
-// publish queues an event for each subscriber and stores it for replay. It never blocks: a subscriber whose queue is full
-// is disconnected.
+// publish queues an event for each subscriber and stores it for replay. It never blocks: a subscriber whose queue is
+// full is disconnected.
 func (s *eventStream) publish(e event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,8 +64,8 @@
 	}
 }
 
-// subscribe registers a session and returns its queue, which is closed when the subscription ends, and the stored events
-// from start on. With a zero start it returns no stored events.
+// subscribe registers a session and returns its queue, which is closed when the subscription ends, and the stored
+// events from start on. With a zero start it returns no stored events.
 func (s *eventStream) subscribe(sess *session, start time.Time) (<-chan event, []event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/netconf/ops.go
+++ b/internal/netconf/ops.go
@@ -13,11 +13,12 @@
 	"brookmux/internal/schema"
 )
 
-// rpcHandlers maps a namespace and an operation name, separated by a space, to the handler. A handler returns the body of
-// the reply; a nil body without an error is answered with ok.
+// rpcHandlers maps a namespace and an operation name, separated by a space, to the handler. A handler returns the body
+// of the reply; a nil body without an error is answered with ok.
 var rpcHandlers map[string]func(*session, *etree.Element) ([]byte, error)
 
-func init() { // set here because the operations need the complete map
+// init fills rpcHandlers. No handler refers to the map, so an initializer of the variable would do as well.
+func init() {
 	rpcHandlers = map[string]func(*session, *etree.Element) ([]byte, error){
 		baseNS + " get":                         (*session).get,
 		baseNS + " get-config":                  (*session).getConfig,
@@ -201,8 +202,8 @@
 	return err
 }
 
-// sourceConfig returns the configuration given by the source parameter: inline, or a copy of a datastore without what the
-// user may not read.
+// sourceConfig returns the configuration given by the source parameter: inline, or a copy of a datastore without what
+// the user may not read.
 func (sess *session) sourceConfig(op *etree.Element) (*schema.Node, error) {
 	e := onlyChild(op, "source")
 	if e == nil {
@@ -217,7 +218,8 @@
 	}
 	tree, err := sess.readDatastore(t)
 	if rules := sess.nacmRules(); rules != nil && err == nil {
-		rules.RemoveUnreadable(sess.dsSession.User, tree) // copy-config omits nodes that the user may not read (RFC 8341, 3.2.4)
+		// copy-config omits nodes that the user may not read (RFC 8341, 3.2.4)
+		rules.RemoveUnreadable(sess.dsSession.User, tree)
 	}
 	return tree, err
 }
--- a/internal/netconf/session.go
+++ b/internal/netconf/session.go
@@ -45,8 +45,8 @@
 	Owner    *transact.Owner
 	Model    *schema.Model
 	AddState func(tree *schema.Node) // adds state data to a copy of running, may be nil
-	// Rules returns the access control rules that now apply to a user (RFC 8341), or nil for unrestricted access. If Rules
-	// is nil, access is unrestricted. The Owner's store checks write access to the configuration.
+	// Rules returns the access control rules that now apply to a user (RFC 8341), or nil for unrestricted access. If
+	// Rules is nil, access is unrestricted. The Owner's store checks write access to the configuration.
 	Rules func(user string) *nacm.Rules
 	Now   func() time.Time
 	Log   *slog.Logger
@@ -79,8 +79,9 @@
 	framer  framer
 }
 
-// Serve runs the session of one client until its connection or session ends, then closes the connection and releases the
-// session's locks. user is the name that the transport has authenticated. An orderly end of the input is not an error.
+// Serve runs the session of one client until its connection or session ends, then closes the connection and releases
+// the session's locks. user is the name that the transport has authenticated. An orderly end of the input is not an
+// error.
 func (s *Server) Serve(conn io.ReadWriteCloser, user string) error {
 	defer conn.Close()
 	var dsSession datastore.Session
--- a/internal/netconf/ssh.go
+++ b/internal/netconf/ssh.go
@@ -27,8 +27,8 @@
 	keepAliveInterval = 20 * time.Second
 )
 
-// Access supplies the host keys and the keys that users may log in with. It is queried for each connection and log-in, so
-// that a change applies from the next one on. It must be safe for concurrent use.
+// Access supplies the host keys and the keys that users may log in with. It is queried for each connection and log-in,
+// so that a change applies from the next one on. It must be safe for concurrent use.
 type Access interface {
 	// HostKeys returns the host keys of the server. With several, clients can learn the new key before the old one is
 	// removed.
@@ -55,8 +55,8 @@
 	return &Listener{server: server, access: access, log: log, keepAliveInterval: keepAliveInterval, clients: map[net.Conn]struct{}{}}
 }
 
-// Serve accepts connections until the context ends, which closes them all and is not an error, or the listener is closed.
-// It returns when all connections have ended.
+// Serve accepts connections until the context ends, which closes them all and is not an error, or the listener is
+// closed. It returns when all connections have ended.
 func (l *Listener) Serve(ctx context.Context, listener net.Listener) error {
 	defer l.handlers.Wait()
 	defer context.AfterFunc(ctx, func() {
@@ -183,8 +183,8 @@
 	return conn.Wait()
 }
 
-// monitorKeepAlive sends keep-alives until done is closed, and closes the connection if the client does not answer one in
-// time.
+// monitorKeepAlive sends keep-alives until done is closed, and closes the connection if the client does not answer one
+// in time.
 func (l *Listener) monitorKeepAlive(conn ssh.Conn, netConn net.Conn, done <-chan struct{}) {
 	for {
 		select {
@@ -225,8 +225,8 @@
 	}
 }
 
-// timeoutChannel is an SSH channel that closes the connection if a write takes longer than writeTimeout, as with a client
-// that does not read. SSH channels have no deadlines of their own.
+// timeoutChannel is an SSH channel that closes the connection if a write takes longer than writeTimeout, as with a
+// client that does not read. SSH channels have no deadlines of their own.
 type timeoutChannel struct {
 	ssh.Channel
 	netConn net.Conn
--- a/internal/playback/playback.go
+++ b/internal/playback/playback.go
@@ -286,7 +286,7 @@
 		a.selectConnOf(a.expandCaptures(s, payload))
 		got, err := a.read(true)
 		require.Error(s.t, err, "%s received %q", a.name, got)
-		s.ledger.connectionEnded(a.name, a.connOfCall, a.conn, false) // the time at which the program closed it is not known
+		s.ledger.connectionEnded(a.name, a.connOfCall, a.conn, false) // when the program closed it is not known
 		a.conn = nil
 	case strings.HasPrefix(verb, "waits "):
 		d, err := time.ParseDuration(strings.TrimPrefix(verb, "waits "))
--- a/internal/schema/types.go
+++ b/internal/schema/types.go
@@ -116,6 +116,7 @@
 	return text
 }
 
+// errOutOfRange reports that a number, or the length of a value, is outside the range of its type.
 var errOutOfRange = errors.New("outside the range")
 
 // canonicalBuiltin checks a value against a built-in type with its range or length, and returns its canonical form.
--- a/internal/standin/attempt.go
+++ b/internal/standin/attempt.go
@@ -92,8 +92,8 @@
 	}, rejected)
 }
 
-// sendAnswer sends the answer to the controller that sent the set-up. A call that does not
-// transit a tandem then stands for its hold time.
+// sendAnswer sends the answer to the controller that sent the set-up. A call that does not transit a tandem then stands
+// for its hold time.
 func (a *attempt) sendAnswer() {
 	m := a.from.mesh
 	a.afterDelay(func() {
--- a/internal/standin/mesh.go
+++ b/internal/standin/mesh.go
@@ -15,7 +15,7 @@
 const (
 	dayStart        = time.Hour              // virtual start time of a mesh; processors with start time 0 are warm
 	resetDelay      = 50 * time.Millisecond  // from a process's death until the far ends of its connections detect it
-	listUpdateDelay = 500 * time.Millisecond // from the replacement of a processor until controllers receive the new list
+	listUpdateDelay = 500 * time.Millisecond // from the replacement of a processor until controllers have the new list
 	minWakeDelay    = time.Microsecond       // minimum delay until a controller's next timer step
 	loadInterval    = 300 * time.Millisecond // between samples of the processors' waits for reports
 )
--- a/internal/standin/mesh_test.go
+++ b/internal/standin/mesh_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSameSeed: a run with killed controllers, a cold processor and a stalled one violates no rule, and a second run
-// with the same seed gives the same results.
+// TestSameSeed checks that a run with killed controllers, a cold processor and a stalled one violates no rule, and that
+// a second run with the same seed gives the same results.
 func TestSameSeed(t *testing.T) {
 	play := func() (Tally, int) {
 		m, err := NewMesh(MeshConfig(5, 10, 7))
@@ -36,7 +36,8 @@
 	require.Greater(t, a.Served, 500.0)
 }
 
-// TestFallsOver: an overloaded cold processor fails and stays down; a warm one under the same load does not.
+// TestFallsOver checks that an overloaded cold processor fails and stays down, and that a warm one under the same load
+// does not.
 func TestFallsOver(t *testing.T) {
 	for _, cold := range []bool{false, true} {
 		c := &Clock{now: dayStart}
--- a/internal/store/fsm.go
+++ b/internal/store/fsm.go
@@ -130,6 +130,7 @@
 	return v, ok
 }
 
+// list returns the paths that begin with prefix and their values, and the current revision.
 func (f *fsm) list(prefix string) (map[string]string, uint64) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -26,7 +26,7 @@
 	applyTimeout      = 3 * time.Second // for Raft to accept a change
 	snapshotThreshold = 256             // log entries between two snapshots
 	trailingLogs      = 64              // log entries kept after a snapshot: a member that lags less needs no snapshot
-	retainedSnapshots = 2
+	retainedSnapshots = 2               // snapshots kept on disk
 )
 
 // ErrStale reports that a change was rejected because its Change.IfRevision is not the store's current revision.
@@ -183,8 +183,8 @@
 	return rev, mapRaftError(err)
 }
 
-// mapRaftError wraps the errors of Raft that mean that there is no leader in ErrNoLeader. It returns ErrStale and
-// ErrNoLeader unchanged.
+// mapRaftError wraps in ErrNoLeader the errors of Raft that stand for a missing leader: not the leader, leadership lost
+// or in transfer, and a time-out before Raft accepts the change. It returns ErrStale and ErrNoLeader unchanged.
 func mapRaftError(err error) error {
 	switch {
 	case err == nil, errors.Is(err, ErrStale), errors.Is(err, ErrNoLeader):
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -22,6 +22,7 @@
 	stores  []*Store // nil: stopped
 }
 
+// newCluster starts three replicas, which stop at the end of the test.
 func newCluster(t *testing.T) *cluster {
 	c := &cluster{t: t, dir: t.TempDir(), stores: make([]*Store, 3)}
 	var listeners []net.Listener
@@ -115,6 +116,8 @@
 	}
 }
 
+// TestReplicas checks that three replicas hold the same values, that writes survive the loss of the leader, that a
+// restarted replica catches up, and that a write without a majority fails.
 func TestReplicas(t *testing.T) {
 	c := newCluster(t)
 	leader, follower := c.waitLeader()
@@ -156,6 +159,8 @@
 	c.waitValue(follow, "/x", "3")
 }
 
+// TestStaleWrite checks that a change for an earlier revision is rejected on the leader and on a follower, and that one
+// for the current revision applies.
 func TestStaleWrite(t *testing.T) {
 	c := newCluster(t)
 	leader, follower := c.waitLeader()
--- a/internal/stormlab/play.go
+++ b/internal/stormlab/play.go
@@ -12,16 +12,16 @@
 	"brookmux/internal/storm"
 )
 
-// Result holds the measurements of one run of a scenario. A share is the part of the offered worth that was served in time,
-// within the aim of the call's class. It covers the calls whose first try falls in the span.
+// Result holds the measurements of one run of a scenario. A share is the part of the offered worth that was served in
+// time, within the aim of the call's class. It covers the calls whose first try falls in the span.
 type Result struct {
 	Scenario, Variant       string
 	Seed                    uint64
-	ShareBefore             float64       // until 1 s before the first step, without the first 5 s at most
+	ShareBefore             float64       // from 5 s, or half the first step's time if less, until 1 s before it
 	Share10To36             float64       // from 10 s to 36 s after RecoveryStart
 	Share0To20, Share20To35 float64       // in the first 20 s after RecoveryStart, and in the 15 s after those
 	ShareObedient           float64       // Share0To20 of the callers that follow retry advice
-	RecoveryTime            time.Duration // from RecoveryStart until the share stays at 90% of ShareBefore or more; -1 if never
+	RecoveryTime            time.Duration // from RecoveryStart until the share stays at 90% of ShareBefore; -1 if never
 	ShareSIP                float64       // Share0To20 of the SIP callers at exchange 0
 	WorthLost               float64       // worth not served in time from the first step until 35 s after RecoveryStart
 	TriesPerCall            float64       // callers' tries, for calls of the first 20 s after RecoveryStart
@@ -29,7 +29,7 @@
 	MaxWait                 time.Duration // longest wait that a set-up found at a processor
 	Rejected                int           // set-ups rejected by processors
 	Crashed                 int           // processors that crashed from overload
-	RepeatedWaits           int           // retry waits that the same controller had already sent among its last hundred
+	RepeatedWaits           int           // retry waits equal to one of the last hundred of the same controller
 	Violations              []string      // broken rules, the first few
 	ShareBySecond           []float64     // share for each second of the run
 	Changes                 []storm.Change
@@ -43,8 +43,9 @@
 	maxRecoveryTime = 30 * time.Second // RecoveryTime is never longer
 )
 
-// Run runs a scenario once in virtual time. The same scenario, variant and seed give the same result. It returns an error
-// if the variant is unknown, the mesh cannot be built or a step fails. Broken rules are not an error but are in Violations.
+// Run runs a scenario once in virtual time. The same scenario, variant and seed give the same result. It returns an
+// error if the variant is unknown, the mesh cannot be built or a step fails. Broken rules are not an error but are in
+// Violations.
 func Run(s Scenario, variant string, seed uint64) (Result, error) {
 	result := Result{Scenario: s.Name, Variant: variant, Seed: seed, RecoveryTime: -1}
 	config := s.Mesh(seed)
@@ -107,10 +108,10 @@
 	}
 }
 
-// Sweep runs each scenario in each variant with the seeds 0 to seeds-1, at most parallel runs at a time. The results are
-// ordered by scenario, variant and seed, as given. After each run it calls progress, if not nil, one call at a time, with
-// the number of finished runs and the total. If runs fail, it returns no results and the first error in that order, after
-// all runs have ended.
+// Sweep runs each scenario in each variant with the seeds 0 to seeds-1, at most parallel runs at a time. The results
+// are ordered by scenario, variant and seed, as given. After each run it calls progress, if not nil, one call at a
+// time, with the number of finished runs and the total. If runs fail, it returns no results and the first error in that
+// order, after all runs have ended.
 func Sweep(scenarios []Scenario, variants []string, seeds, parallel int, progress func(finished, total int)) ([]Result, error) {
 	type job struct {
 		s       Scenario
@@ -158,13 +159,14 @@
 	return results, nil
 }
 
-// Row summarizes the results of all seeds of one scenario and variant. Its fields have the meaning of those of Result.
+// Row summarizes the results of all seeds of one scenario and variant. Its fields have the meaning of those of Result;
+// RecoveryMedian and RecoveryMax are the RecoveryTime of the median and the worst seed.
 type Row struct {
 	Scenario, Variant                                                          string
 	Seeds                                                                      int
 	ShareBefore, Share0To20, Share10To36, Share20To35, ShareObedient, ShareSIP float64       // means
 	MinShare0To20                                                              float64       // of the worst seed
-	RecoveryMedian, RecoveryMax                                                time.Duration // of the median and the worst seed; -1 if never
+	RecoveryMedian, RecoveryMax                                                time.Duration // -1 if never
 	WorthLost, TriesPerCall, AttemptsPerCall                                   float64       // means
 	MaxWait                                                                    time.Duration // over all seeds
 	Rejected, Crashed, RepeatedWaits, Violations                               int           // sums
--- a/internal/stormlab/scenario.go
+++ b/internal/stormlab/scenario.go
@@ -1,7 +1,7 @@
 // Package stormlab simulates storms of retries on the stand-in mesh and measures their cost: the time to recovery, the
-// worth lost, and the load on controllers and processors. It owns the scenarios, the variants (storm control off, on, and
-// on with one part disabled) and the result tables. It makes no control decisions itself and uses the controllers only
-// through package core.
+// worth lost, and the load on controllers and processors. It owns the scenarios, the variants (storm control off, on,
+// and on with one part disabled) and the result tables. It makes no control decisions itself and uses the controllers
+// only through package core.
 package stormlab
 
 import (
@@ -13,8 +13,8 @@
 	"brookmux/internal/storm"
 )
 
-// Scenario describes a simulated run with a storm: the mesh, the load and the scripted faults. Times are from the start of
-// the run. Script has at least one step and is in order of time.
+// Scenario describes a simulated run with a storm: the mesh, the load and the scripted faults. Times are from the start
+// of the run. Script has at least one step and is in order of time.
 type Scenario struct {
 	Name, Description string
 	Mesh              func(seed uint64) standin.Config
@@ -107,8 +107,8 @@
 var affectedExchanges = []int{1, 3, 5}
 
 // oneCoreScenario returns a scenario with one controller in front of one core. The controller is killed at 10 s and
-// restarted at 14 s. The rate is in calls per second; ignore is the share of callers that ignore retry advice. adjust, if
-// not nil, changes the mesh.
+// restarted at 14 s. The rate is in calls per second; ignore is the share of callers that ignore retry advice. adjust,
+// if not nil, changes the mesh.
 func oneCoreScenario(name string, rate, ignore float64, description string, adjust func(*standin.Config)) Scenario {
 	return Scenario{Name: name, Description: description, RecoveryStart: 14 * second, End: 62 * second,
 		Mesh: func(seed uint64) standin.Config {
@@ -125,8 +125,8 @@
 		Script: []Step{{10 * second, killControllers(0)}, {14 * second, startControllers(0)}}}
 }
 
-// meshScenario returns a scenario with seven exchanges, each with a controller. The load is loadFactor times the planned
-// rate, and the run ends 50 s after recoveryStart.
+// meshScenario returns a scenario with seven exchanges, each with a controller. The load is loadFactor times the
+// planned rate, and the run ends 50 s after recoveryStart.
 func meshScenario(name string, loadFactor float64, callers func(exchange int) standin.CallerConfig, description string,
 	recoveryStart time.Duration, script ...Step) Scenario {
 	return Scenario{Name: name, Description: description, RecoveryStart: recoveryStart, End: recoveryStart + 50*second,
--- a/internal/stormlab/stormlab_test.go
+++ b/internal/stormlab/stormlab_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestObedient checks that callers that follow retry advice are served nearly as well when 30% of the callers ignore it as
-// when all follow it.
+// TestObedient checks that callers that follow retry advice are served nearly as well when 30% of the callers ignore it
+// as when all follow it.
 func TestObedient(t *testing.T) {
 	rows := runScenarios(t, 3, []string{"on"}, "mesh-obedient", "mesh-cold")
 	require.Greater(t, rows["mesh-cold on"].ShareObedient, 0.95*rows["mesh-obedient on"].ShareObedient)
@@ -81,8 +81,8 @@
 	require.Equal(t, first, repeated)
 }
 
-// TestChangesInAStorm changes the settings of one controller during a storm, steps the clock of another back and drains a
-// third. No rule may break, the controller with the new settings sends no further waits, and the drain ends.
+// TestChangesInAStorm changes the settings of one controller during a storm, steps the clock of another back and drains
+// a third. No rule may break, the controller with the new settings sends no further waits, and the drain ends.
 func TestChangesInAStorm(t *testing.T) {
 	s, err := FindScenario("mesh-cold")
 	require.NoError(t, err)
@@ -125,7 +125,8 @@
 	}
 }
 
-// TestTables checks that both table formats have a line for each row, and that unknown scenarios and variants are errors.
+// TestTables checks that both table formats have a line for each row, and that unknown scenarios and variants are
+// errors.
 func TestTables(t *testing.T) {
 	rows := []Row{{Scenario: "a", Variant: "on", Seeds: 2, RecoveryMax: -1}, {Scenario: "b", Variant: "off"}}
 	var md, csv bytes.Buffer
