--- a/cmd/brookmux/operate.go
+++ b/cmd/brookmux/operate.go
@@ -185,9 +185,9 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := map[string]string{}
-	for n, w := range t.statuses {
-		if w.Listed == "draining" || w.Listed == "gone" {
-			out[fmt.Sprint(n)] = w.Listed
+	for n, status := range t.statuses {
+		if status.Listed == "draining" || status.Listed == "gone" {
+			out[fmt.Sprint(n)] = status.Listed
 		}
 	}
 	return out
@@ -198,9 +198,9 @@
 func (t *exchangeTable) update(kind brookmux.ListKind) {
 	all, configured, statuses, nextUpdate := t.exchangeMerger.Merge(t.now(), t.listed.Switches())
 	for _, n := range slices.Sorted(maps.Keys(statuses)) {
-		if w := statuses[n]; t.statuses != nil && t.statuses[n] != w {
-			t.pendingEvents = append(t.pendingEvents, [][2]string{{"number", fmt.Sprint(n)}, {"told", w.Listed},
-				{"origin", string(w.Origin)}})
+		if status := statuses[n]; t.statuses != nil && t.statuses[n] != status {
+			t.pendingEvents = append(t.pendingEvents, [][2]string{{"number", fmt.Sprint(n)}, {"told", status.Listed},
+				{"origin", string(status.Origin)}})
 		}
 	}
 	for _, n := range slices.Sorted(maps.Keys(t.statuses)) {
@@ -272,11 +272,11 @@
 func (t *exchangeTable) addState(tree *schema.Node) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for n, w := range t.statuses {
+	for n, status := range t.statuses {
 		prefix := fmt.Sprintf("/exchanges/exchange[number='%d']/state/", n)
-		_ = tree.Put(schema.Item{Path: prefix + "origin", Value: string(w.Origin)}) // in the model, see the tests
-		if w.Listed != "" {
-			_ = tree.Put(schema.Item{Path: prefix + "told", Value: w.Listed})
+		_ = tree.Put(schema.Item{Path: prefix + "origin", Value: string(status.Origin)}) // in the model, see the tests
+		if status.Listed != "" {
+			_ = tree.Put(schema.Item{Path: prefix + "told", Value: status.Listed})
 		}
 	}
 }
--- a/cmd/brookmux/operate_test.go
+++ b/cmd/brookmux/operate_test.go
@@ -234,7 +234,7 @@
 	require.Contains(t, got, "<aim>"+wait[1]+"</aim>")
 	n, err := strconv.Atoi(wait[1])
 	require.NoError(t, err)
-	require.GreaterOrEqual(t, n, minWait, "the acknowledged commit is lost")
+	require.GreaterOrEqual(t, n, minWait, "the acknowledged commit is in force")
 	require.NoError(t, d.Close())
 	s.stop()
 }
@@ -375,8 +375,8 @@
 	s.stop()
 }
 
-// TestSame: equalUnder compares only the named top-level nodes.
-func TestSame(t *testing.T) {
+// TestEqualUnder: equalUnder compares only the named top-level nodes.
+func TestEqualUnder(t *testing.T) {
 	m, err := schema.Load(yang.Files)
 	require.NoError(t, err)
 	build := func(items ...schema.Item) *schema.Node {
--- a/controller_test.go
+++ b/controller_test.go
@@ -211,8 +211,8 @@
 	expectActions(t, d, "send 2 to 101")
 }
 
-// TestGatedCallsComeAgain: a call that did not pass the gate is tried again at the next gate update.
-func TestGatedCallsComeAgain(t *testing.T) {
+// TestGatedCallsAreRetried: a call that did not pass the gate is tried again at the next gate update.
+func TestGatedCallsAreRetried(t *testing.T) {
 	c, d := startController(t, meshSettings())
 	c.exchange(1).gate = 0
 	c.Offered(second, newCall(1, 1, second))
@@ -417,8 +417,8 @@
 	}
 }
 
-// TestLossIsNotSilence: an exchange that loses a third of its answers is not treated as unresponsive.
-func TestLossIsNotSilence(t *testing.T) {
+// TestLostAnswersAreNotUnresponsiveness: an exchange that loses a third of its answers is not treated as unresponsive.
+func TestLostAnswersAreNotUnresponsiveness(t *testing.T) {
 	c, d := startController(t, meshSettings())
 	c.Probed(second, circuitReport(1, 500, 500))
 	for i := range CallID(60) {
@@ -469,10 +469,10 @@
 	}
 }
 
-// TestOwnWaitOfThinTraffic: with few calls per exchange, the first set-up to an exchange can meet a congested local
+// TestLocalWaitWithFewCalls: with few calls per exchange, the first set-up to an exchange can meet a congested local
 // processor and has no earlier delay to compare with. The local wait is the smallest excess over the minimum delay
 // to any exchange, so such a set-up doesn't hide the queue.
-func TestOwnWaitOfThinTraffic(t *testing.T) {
+func TestLocalWaitWithFewCalls(t *testing.T) {
 	c, _ := startController(t, meshSettings())
 	for i, took := range []time.Duration{50, 1500, 1600} {
 		id, at := CallID(i+1), time.Duration(i+1)*second
@@ -488,10 +488,10 @@
 	}
 }
 
-// TestCallsAfterAStandstill: after a pause of the process, the age of a new call is derived from the time that it
+// TestCallsAfterPause: after a pause of the process, the age of a new call is derived from the time that it
 // has left to its expiry, so that calls that can still stand in time take precedence. Without a pause a short time
 // to expiry doesn't make the call older.
-func TestCallsAfterAStandstill(t *testing.T) {
+func TestCallsAfterPause(t *testing.T) {
 	for _, tt := range []struct {
 		gap, firstTried time.Duration
 	}{{2 * second, 4 * second}, {10 * time.Millisecond, 5990 * time.Millisecond}} {
@@ -654,9 +654,9 @@
 	}
 }
 
-// TestLineHoldsCalls: while the oldest outstanding set-up has waited longer than the target, calls to its exchange
+// TestQueueHoldsCalls: while the oldest outstanding set-up has waited longer than the target, calls to its exchange
 // are queued, except those of high worth and those in transit. The answer releases them.
-func TestLineHoldsCalls(t *testing.T) {
+func TestQueueHoldsCalls(t *testing.T) {
 	s := meshSettings()
 	s.Classes = append(s.Classes, s.Classes[0])
 	s.Classes[1].Worth = 8
@@ -681,8 +681,8 @@
 	expectActions(t, d, "send 3 to 101")
 }
 
-// TestOwnProcessorDown: while the local exchange can't send set-ups, calls wait and keep their attempts.
-func TestOwnProcessorDown(t *testing.T) {
+// TestLocalProcessorDown: while the local exchange can't send set-ups, calls wait and keep their attempts.
+func TestLocalProcessorDown(t *testing.T) {
 	c, d := startController(t, meshSettings())
 	c.Offered(second, newCall(1, 1, second))
 	expectActions(t, d, "send 1 to 101")
@@ -912,8 +912,8 @@
 			c.Timer(now, periodToken)
 		}
 	}
-	for name, n := range map[string]int{"machines": len(c.switches), "exchanges": len(c.exchanges),
-		"calls": len(c.calls), "waiting": len(c.queue), "under way": len(c.exchange(1).outstanding)} {
+	for name, n := range map[string]int{"switches": len(c.switches), "exchanges": len(c.exchanges),
+		"calls": len(c.calls), "queued calls": len(c.queue), "outstanding set-ups": len(c.exchange(1).outstanding)} {
 		if n > 8 {
 			t.Errorf("%d %s are kept", n, name)
 		}
--- a/internal/core/intake.go
+++ b/internal/core/intake.go
@@ -60,8 +60,9 @@
 		}
 	}
 	e.lastID++
-	if maxLeft := e.Settings.Module.Classes[e.classes[r.Class]].Deadline; r.Remaining <= 0 || maxLeft > 0 && r.Remaining > maxLeft {
-		r.Remaining = maxLeft
+	if maxRemaining := e.Settings.Module.Classes[e.classes[r.Class]].Deadline; r.Remaining <= 0 ||
+		maxRemaining > 0 && r.Remaining > maxRemaining {
+		r.Remaining = maxRemaining
 	}
 	c := &call{Request: r, id: e.lastID, at: e.now, expires: e.now + r.Remaining - answerMargin, size: size}
 	e.calls[r.Key], e.byID[c.id] = c, c
@@ -86,17 +87,17 @@
 }
 
 // Withdraw cancels a set-up on behalf of its caller, which gets no final answer then. done runs in the owner's
-// goroutine: open is set if the call was still awaiting its answer, known if it is a call of this caller or has
+// goroutine: pending is set if the call was still awaiting its answer, known if it is a call of this caller or has
 // recently ended.
-func (e *Engine) Withdraw(caller Caller, key string, done func(open, known bool)) {
+func (e *Engine) Withdraw(caller Caller, key string, done func(pending, known bool)) {
 	e.post(func() {
 		c := e.calls[key]
-		open := c != nil && !c.answered && c.Caller == caller
-		if open {
+		pending := c != nil && !c.answered && c.Caller == caller
+		if pending {
 			e.counts.Withdrawn++
 			e.abandon(c)
 		}
-		done(open, c != nil && c.Caller == caller || e.recentlyEnded(key))
+		done(pending, c != nil && c.Caller == caller || e.recentlyEnded(key))
 	})
 }
 
--- a/internal/core/unresolved_test.go
+++ b/internal/core/unresolved_test.go
@@ -36,8 +36,8 @@
 func (a harnessCaller) Refuse(_ string, v Verdict) { a.refused = append(a.refused, v) }
 func (a harnessCaller) Release(_ string, _ Cause)  { a.over++ }
 func (h *harness) advance(step time.Duration)      { h.now += step; h.Step() }
-func (h *harness) normalEnd(elsewhere bool) Outcome {
-	return Outcome{Result: brookmux.ResultOK, Report: noReport, Cause: NormalClearing, OtherConnection: elsewhere}
+func (h *harness) normalEnd(otherConnection bool) Outcome {
+	return Outcome{Result: brookmux.ResultOK, Report: noReport, Cause: NormalClearing, OtherConnection: otherConnection}
 }
 
 // newHarness returns a harness with one core and one call, whose first attempt was lost with its connection.
@@ -112,9 +112,10 @@
 	require.Empty(t, h.calls)
 }
 
-// TestLostSetUpIsLetGo: a set-up that is lost with its connection may stand at its core with its answer lost. It must
-// be released there, or its later end is taken for the end of the call's next attempt once this process has restarted.
-func TestLostSetUpIsLetGo(t *testing.T) {
+// TestLostSetUpIsReleased: a set-up that is lost with its connection may stand at its core with its answer lost. It
+// must be released there, or its later end is taken for the end of the call's next attempt once this process has
+// restarted.
+func TestLostSetUpIsReleased(t *testing.T) {
 	h := newHarness(t)
 	require.Equal(t, []brookmux.SwitchID{1}, h.released)
 }
--- a/internal/datastore/edit.go
+++ b/internal/datastore/edit.go
@@ -71,7 +71,7 @@
 	if e.Root.Op == Replace {
 		root.RemoveSelf()
 	}
-	a.applyParts(root, e.Root)
+	a.applyChildren(root, e.Root)
 	return a.faults
 }
 
@@ -96,18 +96,18 @@
 	return a.onError == ContinueOnError
 }
 
-// applyParts applies the parts below p to parent, the node of p. It reports whether to continue.
-func (a *applier) applyParts(parent *schema.Node, p *EditNode) bool {
+// applyChildren applies the children of p to parent, the node of p. It reports whether to continue.
+func (a *applier) applyChildren(parent *schema.Node, p *EditNode) bool {
 	for _, c := range p.Children {
-		if !a.applyPart(parent, c) {
+		if !a.applyNode(parent, c) {
 			return false
 		}
 	}
 	return true
 }
 
-// applyPart applies one part below its parent's node. It reports whether to continue.
-func (a *applier) applyPart(parent *schema.Node, p *EditNode) bool {
+// applyNode applies p below parent, the node of its parent. It reports whether to continue.
+func (a *applier) applyNode(parent *schema.Node, p *EditNode) bool {
 	d := p.Def
 	if !d.Config {
 		return a.addFault(schema.InvalidValue, p, "it is state, and can't be set")
@@ -154,7 +154,7 @@
 	if err != nil && !errors.Is(err, schema.ErrExists) {
 		return a.addFault(schema.OperationFailed, p, err.Error())
 	}
-	ok := a.applyParts(n, p)
+	ok := a.applyChildren(n, p)
 	if n.Len() == 0 && d.Kind == schema.Container && !d.Presence && n.Parent != nil {
 		n.RemoveSelf() // an empty container without presence has no meaning (RFC 7950, 7.5.1)
 	}
--- a/internal/directory/schedule.go
+++ b/internal/directory/schedule.go
@@ -40,6 +40,7 @@
 	jitter        float64 // of the current interval, from -1 to 1
 }
 
+// newSchedule returns a schedule without queries; its first query is due at once.
 func newSchedule() *schedule { return &schedule{queries: map[uint16]*query{}} }
 
 // reset clears all state about the service, for a change to another one.
--- a/internal/faulttrial/check_calls.go
+++ b/internal/faulttrial/check_calls.go
@@ -119,13 +119,15 @@
 			} else if end == nil || end.Kind != CoreGivenUp {
 				c.addCallFinding(r, RuleOverlap, next.At, next.Core, "a second attempt while one is open at "+previous.Core)
 			} else {
-				c.addCallFinding(r, RuleOverlap, next.At, next.Core, fmt.Sprintf("a second attempt %v before the first at %s is abandoned", end.At-next.At, previous.Core))
+				c.addCallFinding(r, RuleOverlap, next.At, next.Core,
+					fmt.Sprintf("a second attempt %v before the first at %s is abandoned", end.At-next.At, previous.Core))
 			}
 			continue
 		}
 		reset := end.Kind == CoreGivenUp || end.Kind == CoreRefuse && end.Cause == 41
 		if gap := next.At - end.At; reset && gap < minResendWait-c.tolerance() && !c.faultyDuring(previous.Core, previous.At, next.At) {
-			c.addCallFinding(r, RuleHold, next.At, next.Core, fmt.Sprintf("sent again %v after the attempt at %s failed", gap.Round(time.Millisecond), previous.Core))
+			c.addCallFinding(r, RuleHold, next.At, next.Core,
+				fmt.Sprintf("sent again %v after the attempt at %s failed", gap.Round(time.Millisecond), previous.Core))
 		}
 	}
 }
@@ -221,7 +223,8 @@
 				return
 			}
 		}
-		c.addCallFinding(r, RuleGivenUp, r.release.At, core, fmt.Sprintf("released although its core was alive (unresponsive for %v at most)", outage.Round(time.Millisecond)))
+		c.addCallFinding(r, RuleGivenUp, r.release.At, core,
+			fmt.Sprintf("released although its core was alive (unresponsive for %v at most)", outage.Round(time.Millisecond)))
 		return
 	}
 	due, limit := coreEnd.At+releaseLimit, "8 s after the call's end"
@@ -279,7 +282,8 @@
 		}
 		endsInTime := func(e Event) bool { return e.Core == answer.Core && e.At >= answer.At && e.At <= due }
 		coreEnd := r.coreEnd[answer.Core]
-		if received || due > c.events[len(c.events)-1].At || slices.ContainsFunc(r.controllerReleases, endsInTime) || coreEnd != nil && endsInTime(*coreEnd) {
+		if received || due > c.events[len(c.events)-1].At || slices.ContainsFunc(r.controllerReleases, endsInTime) ||
+			coreEnd != nil && endsInTime(*coreEnd) {
 			continue
 		}
 		if exit, _ := c.nextExit(r.sent.Controller, answer.At); exit != nil && exit.At <= due {
@@ -290,6 +294,8 @@
 			c.countExcuse("a call whose answer its caller did not get stands at a core that was faulty")
 			continue
 		}
-		c.addCallFinding(r, RuleLeftStanding, due, answer.Core, fmt.Sprintf("the call stands there for %v, and its caller did not get the answer", (due-answer.At).Round(time.Millisecond)))
+		c.addCallFinding(r, RuleLeftStanding, due, answer.Core,
+			fmt.Sprintf("the call stands there for %v, and its caller did not get the answer",
+				(due-answer.At).Round(time.Millisecond)))
 	}
 }
--- a/internal/faulttrial/core.go
+++ b/internal/faulttrial/core.go
@@ -54,7 +54,8 @@
 
 // StartCore starts a core with a group of the given number of circuits towards each controller. It listens at the
 // controller's entry in addresses or, without one, at a free port of the host.
-func StartCore(id, host string, number, circuits int, controllers []string, addresses map[string]string, behaviour CoreBehaviour, seed uint64, record *Recorder) (*CoreProcess, error) {
+func StartCore(id, host string, number, circuits int, controllers []string, addresses map[string]string,
+	behaviour CoreBehaviour, seed uint64, record *Recorder) (*CoreProcess, error) {
 	c := &CoreProcess{ID: id, Number: number, behaviour: behaviour, record: record, random: rand.New(rand.NewPCG(seed, 17)),
 		links: map[string]*controllerLink{}, calls: map[string]*coreCall{}}
 	for _, name := range controllers {
--- a/internal/intent/intent.go
+++ b/internal/intent/intent.go
@@ -182,14 +182,14 @@
 
 // SetConfigured replaces the configured exchanges. At the start of the program their cores count as started long ago;
 // later, a new core counts as started now, as it is not known to be warm. Cores no longer configured drain.
-func (p *Merger) SetConfigured(now time.Duration, list []Exchange, atStart bool) {
-	p.configured = map[int]Exchange{}
+func (m *Merger) SetConfigured(now time.Duration, list []Exchange, atStart bool) {
+	m.configured = map[int]Exchange{}
 	for _, x := range list {
-		p.configured[x.Number] = x
+		m.configured[x.Number] = x
 	}
-	for i := range p.cores {
-		k := &p.cores[i]
-		if x, ok := p.configured[k.Number]; ok && x.Address == k.Address {
+	for i := range m.cores {
+		k := &m.cores[i]
+		if x, ok := m.configured[k.Number]; ok && x.Address == k.Address {
 			k.drainUntil = 0
 			k.Zone = x.Zone
 		} else if k.drainUntil == 0 {
@@ -197,23 +197,23 @@
 		}
 	}
 	for _, x := range list {
-		if !slices.ContainsFunc(p.cores, func(k placedCore) bool { return k.Number == x.Number && k.Address == x.Address }) {
-			c := Core{Switch: brookmux.Switch{ID: p.id(x), Number: x.Number, Zone: x.Zone}, Address: x.Address}
+		if !slices.ContainsFunc(m.cores, func(k placedCore) bool { return k.Number == x.Number && k.Address == x.Address }) {
+			c := Core{Switch: brookmux.Switch{ID: m.id(x), Number: x.Number, Zone: x.Zone}, Address: x.Address}
 			if !atStart {
 				c.Since = now
 			}
-			p.cores = append(p.cores, placedCore{Core: c})
+			m.cores = append(m.cores, placedCore{Core: c})
 		}
 	}
 }
 
 // id derives a core's id from the exchange number and address, so that it is the same after each start. It is unique
 // among the placed cores, and not 0.
-func (p *Merger) id(x Exchange) brookmux.SwitchID {
+func (m *Merger) id(x Exchange) brookmux.SwitchID {
 	h := fnv.New32a()
 	_, _ = fmt.Fprintf(h, "%d %s", x.Number, x.Address) // never fails, see hash.Hash
 	id := brookmux.SwitchID(h.Sum32())
-	for id == 0 || slices.ContainsFunc(p.cores, func(k placedCore) bool { return k.ID == id }) {
+	for id == 0 || slices.ContainsFunc(m.cores, func(k placedCore) bool { return k.ID == id }) {
 		id++
 	}
 	return id
@@ -222,13 +222,15 @@
 // Merge combines the listed and the configured cores. It returns the listed cores with the states in force, the cores
 // that only operators have configured, the origin of each exchange's state by exchange number, and the time at which to
 // call Merge again (0: at the next change).
-func (p *Merger) Merge(now time.Duration, listed []brookmux.Switch) (all []brookmux.Switch, unlisted []Core, origins map[int]ExchangeOrigin, next time.Duration) {
-	p.cores = slices.DeleteFunc(p.cores, func(k placedCore) bool { return k.drainUntil > 0 && k.drainUntil <= now })
+func (m *Merger) Merge(now time.Duration, listed []brookmux.Switch) (
+	all []brookmux.Switch, unlisted []Core, origins map[int]ExchangeOrigin, next time.Duration,
+) {
+	m.cores = slices.DeleteFunc(m.cores, func(k placedCore) bool { return k.drainUntil > 0 && k.drainUntil <= now })
 	origins = map[int]ExchangeOrigin{}
 	listedIDs := map[brookmux.SwitchID]bool{}
 	for _, s := range listed {
 		origin := ExchangeOrigin{Learned, map[brookmux.SwitchState]string{brookmux.Ready: "ready", brookmux.Draining: "draining"}[s.State]}
-		if x, ok := p.configured[s.Number]; ok && x.State == brookmux.Draining && s.State == brookmux.Ready {
+		if x, ok := m.configured[s.Number]; ok && x.State == brookmux.Draining && s.State == brookmux.Ready {
 			s.State, origin.Origin = brookmux.Draining, Intended
 		}
 		if old, ok := origins[s.Number]; !ok || old.Listed != "ready" {
@@ -238,35 +240,35 @@
 		all = append(all, s)
 	}
 	// An exchange that has left the list is gone: its configuration does not replace the list.
-	if p.listed == nil {
-		p.listed = map[int]bool{}
+	if m.listed == nil {
+		m.listed = map[int]bool{}
 	}
-	for n := range p.listed {
-		p.listed[n] = false
+	for n := range m.listed {
+		m.listed[n] = false
 	}
 	for _, s := range listed {
-		p.listed[s.Number] = true
+		m.listed[s.Number] = true
 	}
-	for n, listedNow := range p.listed {
-		if _, configured := p.configured[n]; configured && !listedNow {
+	for n, listedNow := range m.listed {
+		if _, configured := m.configured[n]; configured && !listedNow {
 			origins[n] = ExchangeOrigin{Learned, "gone"}
 		}
 	}
-	for _, k := range p.cores {
+	for _, k := range m.cores {
 		_, isListed := origins[k.Number]
 		if isListed && origins[k.Number].Listed != "" || listedIDs[k.ID] {
 			continue // the list takes precedence
 		}
 		c := k.Core
 		if c.State = brookmux.Draining; k.drainUntil == 0 {
-			c.State = p.configured[k.Number].State
+			c.State = m.configured[k.Number].State
 		} else if next == 0 || k.drainUntil < next {
 			next = k.drainUntil
 		}
 		unlisted = append(unlisted, c)
 	}
 	for _, c := range unlisted {
-		if _, ok := p.configured[c.Number]; ok { // not a removed one that is draining
+		if _, ok := m.configured[c.Number]; ok { // not a removed one that is draining
 			origins[c.Number] = ExchangeOrigin{Origin: Intended}
 		}
 	}
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -19,6 +19,7 @@
 	Stopped               // nothing is open
 )
 
+// stateNames holds the name of each State, in the order of the constants.
 var stateNames = [...]string{"starting", "ready", "serving", "draining", "stopped"}
 
 // String returns the name of the state.
--- a/internal/m3ua/group.go
+++ b/internal/m3ua/group.go
@@ -41,6 +41,7 @@
 	t1       time.Duration          // interval at which an unconfirmed REL is sent again (Q.764)
 }
 
+// newCircuitGroup returns a group without circuits in use; a REL is sent again every t1.
 func newCircuitGroup(t1 time.Duration) *circuitGroup {
 	return &circuitGroup{circuits: map[uint16]*circuit{}, byKey: map[string]*circuit{}, t1: t1}
 }
--- a/internal/m3ua/session.go
+++ b/internal/m3ua/session.go
@@ -64,6 +64,7 @@
 	onSSNM    func(Message, []pointCodeRange) error      // called from serve, while active: a message of class SSNM
 }
 
+// newAssociation returns an association over conn, with no heartbeat outstanding.
 func newAssociation(conn net.Conn, routingContext uint32, log *slog.Logger) *association {
 	a := &association{Writer: stream.NewWriter(conn), conn: conn, routingContext: routingContext, log: log}
 	a.beatAcked.Store(true)
--- a/internal/mgmt/owned.go
+++ b/internal/mgmt/owned.go
@@ -42,10 +42,13 @@
 // NewTransactional returns a Source on the transactional configuration of o. addState adds state to the configuration
 // tree, and extraState returns more state by path. rulesFor returns the access rules that currently apply to a user, or
 // nil if the user may read everything.
-func NewTransactional(o *transact.Owner, addState func(*schema.Node), extraState func() map[string]string, rulesFor func(string) *nacm.Rules) *Transactional {
+func NewTransactional(o *transact.Owner, addState func(*schema.Node),
+	extraState func() map[string]string, rulesFor func(string) *nacm.Rules,
+) *Transactional {
 	var rootDef *schema.Def
 	o.View(func(s *datastore.Store) { rootDef = s.Model.Root })
-	return &Transactional{owner: o, rootDef: rootDef, addState: addState, extraState: extraState, rulesFor: rulesFor, watchers: map[chan []store.Op]struct{}{}}
+	return &Transactional{owner: o, rootDef: rootDef, addState: addState, extraState: extraState,
+		rulesFor: rulesFor, watchers: map[chan []store.Op]struct{}{}}
 }
 
 // toStorePath converts the path of a schema.Item to the form of path.String. It reports false for elements of
@@ -201,7 +204,9 @@
 
 // beginTxn begins the transaction of a Set: a change with or without a confirmed commit, an extension of its time-out,
 // its confirmation or its cancellation. The last three can't be combined with operations.
-func (o *Transactional) beginTxn(s *datastore.Store, id datastore.SessionID, ops []store.Op, ext *gnmi_ext.Commit, at time.Time) (*datastore.Txn, error) {
+func (o *Transactional) beginTxn(s *datastore.Store, id datastore.SessionID, ops []store.Op,
+	ext *gnmi_ext.Commit, at time.Time,
+) (*datastore.Txn, error) {
 	var commit datastore.Commit
 	switch a := ext.GetAction().(type) {
 	case *gnmi_ext.Commit_Commit:
--- a/internal/mgmt/owned_test.go
+++ b/internal/mgmt/owned_test.go
@@ -84,9 +84,9 @@
 
 const twoExchanges = `{"exchange":[{"number":1,"address":"10.0.0.1:1","zone":"east"},{"number":3,"address":"10.0.0.3:1","zone":"east","planned-load":"7.50"}]}`
 
-// TestOwnedSet checks that a Set is one transaction: its operations apply in the order of the gNMI specification, and
-// if one is invalid nothing changes.
-func TestOwnedSet(t *testing.T) {
+// TestTransactionalSet checks that a Set is one transaction: its operations apply in the order of the gNMI
+// specification, and if one is invalid nothing changes.
+func TestTransactionalSet(t *testing.T) {
 	b := newTestServer(t)
 	require.Equal(t, codes.OK, b.setCode(&gnmi.SetRequest{Update: []*gnmi.Update{jsonUpdate("/exchanges", twoExchanges),
 		jsonUpdate("/circuit-groups/group[a=1][b=3]", `{"a":1,"b":3,"size":9}`), jsonUpdate("/limits/max-wait", "5")}}))
@@ -127,9 +127,9 @@
 	return &gnmi.SetRequest{Update: u, Extension: []*gnmi_ext.Extension{{Ext: &gnmi_ext.Extension_Commit{Commit: c}}}}
 }
 
-// TestOwnedCommit checks that a confirmed commit stays pending after its RPC, and ends by a confirmation, a cancel or
-// its rollback time, which a later request may extend. Meanwhile, other changes are rejected.
-func TestOwnedCommit(t *testing.T) {
+// TestTransactionalCommit checks that a confirmed commit stays pending after its RPC, and ends by a confirmation, a
+// cancel or its rollback time, which a later request may extend. Meanwhile, other changes are rejected.
+func TestTransactionalCommit(t *testing.T) {
 	initial := &gnmi_ext.Commit{Id: "x", Action: &gnmi_ext.Commit_Commit{Commit: &gnmi_ext.CommitRequest{RollbackDuration: durationpb.New(time.Minute)}}}
 	confirm := &gnmi_ext.Commit{Id: "x", Action: &gnmi_ext.Commit_Confirm{Confirm: &gnmi_ext.CommitConfirm{}}}
 	cancel := &gnmi_ext.Commit{Id: "x", Action: &gnmi_ext.Commit_Cancel{Cancel: &gnmi_ext.CommitCancel{}}}
@@ -156,8 +156,8 @@
 	require.Equal(t, codes.InvalidArgument, newTestServer(t).setCode(commitRequest(confirm)))
 }
 
-// TestOwnedLocked checks that a Set fails while a NETCONF session holds the lock of the running datastore.
-func TestOwnedLocked(t *testing.T) {
+// TestTransactionalLocked checks that a Set fails while a NETCONF session holds the lock of the running datastore.
+func TestTransactionalLocked(t *testing.T) {
 	b := newTestServer(t)
 	var session datastore.Session
 	require.NoError(t, b.owner.Do(func(s *datastore.Store) (err error) {
@@ -172,8 +172,9 @@
 	require.Equal(t, codes.OK, b.setCode(r))
 }
 
-// TestOwnedSlow checks that a subscriber that does not read is dropped with ResourceExhausted and doesn't block Sets.
-func TestOwnedSlow(t *testing.T) {
+// TestTransactionalSlow checks that a subscriber that does not read is dropped with ResourceExhausted and doesn't block
+// Sets.
+func TestTransactionalSlow(t *testing.T) {
 	b := newTestServer(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -196,8 +197,8 @@
 	}
 }
 
-// TestOwnedRules checks that values that an access rule denies are not returned.
-func TestOwnedRules(t *testing.T) {
+// TestTransactionalRules checks that values that an access rule denies are not returned.
+func TestTransactionalRules(t *testing.T) {
 	b := newTestServer(t)
 	require.Equal(t, codes.OK, b.setCode(&gnmi.SetRequest{Update: []*gnmi.Update{jsonUpdate("/limits/max-wait", "5"), jsonUpdate("/nacm/rule-list[name=a]",
 		`{"rule":[{"name":"r","path":"/limits/max-wait","access-operations":"read","action":"deny"}]}`)}}))
@@ -243,9 +244,9 @@
 	}
 }
 
-// TestOwnedSubscribe checks that a subscriber receives the current values, a sync response, and then the changes made
-// over NETCONF and gNMI.
-func TestOwnedSubscribe(t *testing.T) {
+// TestTransactionalSubscribe checks that a subscriber receives the current values, a sync response, and then the
+// changes made over NETCONF and gNMI.
+func TestTransactionalSubscribe(t *testing.T) {
 	b := newTestServer(t)
 	require.Equal(t, codes.OK, b.setCode(&gnmi.SetRequest{Update: []*gnmi.Update{jsonUpdate("/limits/max-wait", "1")}}))
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/nacm/nacm.go
+++ b/internal/nacm/nacm.go
@@ -69,7 +69,8 @@
 		return r
 	}
 	r.enabled = true
-	r.readDefault, r.writeDefault, r.execDefault = leafValue(n, "read-default") == "permit", leafValue(n, "write-default") == "permit", leafValue(n, "exec-default") == "permit"
+	r.readDefault, r.writeDefault, r.execDefault = leafValue(n, "read-default") == "permit",
+		leafValue(n, "write-default") == "permit", leafValue(n, "exec-default") == "permit"
 	if groups := n.Get("groups"); groups != nil {
 		for _, g := range groups.Children() {
 			for _, u := range g.Children() {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -163,6 +163,7 @@
 	return nil
 }
 
+// number decodes a number, 0 if the member is missing.
 func (r *reader) number(v *fastjson.Value, key string) float64 {
 	m := member(v, key)
 	if m == nil {
@@ -173,6 +174,7 @@
 	return f
 }
 
+// integer decodes an integer, 0 if the member is missing.
 func (r *reader) integer(v *fastjson.Value, key string) int {
 	m := member(v, key)
 	if m == nil {
@@ -183,8 +185,10 @@
 	return n
 }
 
+// ms decodes a number of milliseconds, 0 if the member is missing.
 func (r *reader) ms(v *fastjson.Value, key string) time.Duration { return MS(r.number(v, key)) }
 
+// boolean decodes a boolean, false if the member is missing.
 func (r *reader) boolean(v *fastjson.Value, key string) bool {
 	m := member(v, key)
 	if m == nil {
@@ -195,6 +199,7 @@
 	return b
 }
 
+// str decodes a string, empty if the member is missing.
 func (r *reader) str(v *fastjson.Value, key string) string {
 	m := member(v, key)
 	if m == nil {
@@ -205,6 +210,7 @@
 	return string(b)
 }
 
+// list returns the elements of an array, nil if the member is missing.
 func (r *reader) list(v *fastjson.Value, key string) []*fastjson.Value {
 	m := member(v, key)
 	if m == nil {
@@ -215,6 +221,7 @@
 	return a
 }
 
+// strs decodes an array of strings, nil if the member is missing.
 func (r *reader) strs(v *fastjson.Value, key string) []string {
 	var out []string
 	for _, m := range r.list(v, key) {
--- a/internal/sipfront/conn.go
+++ b/internal/sipfront/conn.go
@@ -64,6 +64,7 @@
 	writtenAt time.Time // last time it was written
 }
 
+// newConn returns the state of an accepted connection. Its idle time counts from now.
 func newConn(f *Front, nc net.Conn) *conn {
 	c := &conn{Writer: stream.NewWriter(nc), nc: nc, front: f, group: callerGroup(nc), createdAt: time.Now(),
 		invites: map[string]pendingInvite{}, byes: map[string]sentRelease{}}
--- a/internal/sipfront/front.go
+++ b/internal/sipfront/front.go
@@ -43,7 +43,7 @@
 type Engine interface {
 	CallerConnected(group string)
 	Offer(r core.Request)
-	Withdraw(who core.Caller, key string, then func(open, known bool))
+	Withdraw(who core.Caller, key string, then func(pending, known bool))
 	CallerLost(who core.Caller, keys []string)
 	Hangup(who core.Caller, key string, cause core.Cause, then func(known bool))
 }
--- a/internal/storm/advice.go
+++ b/internal/storm/advice.go
@@ -25,6 +25,7 @@
 	drawn  int
 }
 
+// newAdviser returns an adviser whose waits are determined by seed.
 func newAdviser(seed uint64) adviser {
 	a := adviser{rng: rand.New(rand.NewPCG(seed, 3))}
 	a.phase = a.rng.Float64()
--- a/internal/storm/storm.go
+++ b/internal/storm/storm.go
@@ -312,7 +312,7 @@
 	s.callers.served(now, caller)
 	if direct && took > 0 {
 		ramps := d.ramps
-		d.stood(now, took, s.target)
+		d.answered(now, took, s.target)
 		s.counts.Ramps += d.ramps - ramps
 	}
 }
--- a/internal/storm/window.go
+++ b/internal/storm/window.go
@@ -96,9 +96,9 @@
 	return w.unanswered && now-w.unansweredSince > outageAfter
 }
 
-// stood records an answered set-up that took this long and adapts the size: it shrinks while the queueing delay
+// answered records an answered set-up that took this long and adapts the size: it shrinks while the queueing delay
 // exceeds target, and grows while the window is used or smaller than unprovenWindow.
-func (w *window) stood(now, took, target time.Duration) {
+func (w *window) answered(now, took, target time.Duration) {
 	if w.unresponsive(now) {
 		w.ramp()
 	}
